--- a/src/framework/durationtext.h
+++ b/src/framework/durationtext.h
@@ -12,6 +12,6 @@
 // Nothing where the text is no duration.
 std::optional<std::chrono::milliseconds> ParseDuration(std::string_view aText);
 
-std::string PrintDuration(std::chrono::milliseconds aDuration);
+std::string FormatDuration(std::chrono::milliseconds aDuration);
 
 } // namespace kumquat
--- a/src/framework/events.h
+++ b/src/framework/events.h
@@ -106,7 +106,7 @@
 // The whole table, by rising number.
 std::span<const EventEntry> EventEntries();
 
-const EventEntry& EntryOf(Event aEvent);
+const EventEntry& FindEventEntry(Event aEvent);
 
 std::string_view EventLevelName(EventLevel aLevel);
 
@@ -151,7 +151,7 @@
 
   void Write(Event aEvent, EventFields aFields = {});
 
-  std::uint64_t Dropped() const;
+  std::uint64_t DroppedLines() const;
 
 private:
   class State;
--- a/src/framework/internal/durationtext.cpp
+++ b/src/framework/internal/durationtext.cpp
@@ -26,7 +26,7 @@
   return std::chrono::milliseconds(std::llround(ms));
 }
 
-std::string PrintDuration(std::chrono::milliseconds aDuration)
+std::string FormatDuration(std::chrono::milliseconds aDuration)
 {
   return std::to_string(aDuration.count()) + "ms";
 }
--- a/src/framework/internal/events.cpp
+++ b/src/framework/internal/events.cpp
@@ -227,7 +227,7 @@
   return kEntries;
 }
 
-const EventEntry& EntryOf(Event aEvent)
+const EventEntry& FindEventEntry(Event aEvent)
 {
   return *std::ranges::lower_bound(kEntries, aEvent, {}, &EventEntry::event);
 }
@@ -297,10 +297,10 @@
 
 void EventLog::Write(Event aEvent, EventFields aFields)
 {
-  this->state->Write(EntryOf(aEvent), aFields);
+  this->state->Write(FindEventEntry(aEvent), aFields);
 }
 
-std::uint64_t EventLog::Dropped() const
+std::uint64_t EventLog::DroppedLines() const
 {
   return this->state->Dropped();
 }
--- a/src/framework/internal/metrics.cpp
+++ b/src/framework/internal/metrics.cpp
@@ -222,7 +222,7 @@
 
 Metrics::~Metrics() = default;
 
-Counter& Metrics::FindCounter(const std::string& aName, std::string_view aHelp,
+Counter& Metrics::GetOrCreateCounter(const std::string& aName, std::string_view aHelp,
                               const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
@@ -230,7 +230,7 @@
               [] { return std::make_unique<Counter>(); });
 }
 
-Gauge& Metrics::FindGauge(const std::string& aName, std::string_view aHelp,
+Gauge& Metrics::GetOrCreateGauge(const std::string& aName, std::string_view aHelp,
                           const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
@@ -238,7 +238,7 @@
               [] { return std::make_unique<Gauge>(); });
 }
 
-Summary& Metrics::FindSummary(const std::string& aName, std::string_view aHelp,
+Summary& Metrics::GetOrCreateSummary(const std::string& aName, std::string_view aHelp,
                               const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
--- a/src/framework/metrics.h
+++ b/src/framework/metrics.h
@@ -120,11 +120,11 @@
   // The metric of this name and these labels; made where there is none. Names
   // follow Prometheus' conventions ("kumquat_requests_total"); a name keeps
   // the kind and the help that it was first given.
-  Counter& FindCounter(const std::string& aName, std::string_view aHelp,
+  Counter& GetOrCreateCounter(const std::string& aName, std::string_view aHelp,
                        const Labels& aLabels = {});
-  Gauge& FindGauge(const std::string& aName, std::string_view aHelp,
+  Gauge& GetOrCreateGauge(const std::string& aName, std::string_view aHelp,
                    const Labels& aLabels = {});
-  Summary& FindSummary(const std::string& aName, std::string_view aHelp,
+  Summary& GetOrCreateSummary(const std::string& aName, std::string_view aHelp,
                        const Labels& aLabels = {});
 
   // The whole registry in Prometheus' text format, version 0.0.4.
--- a/src/framework/tests/metrics_test.cpp
+++ b/src/framework/tests/metrics_test.cpp
@@ -23,11 +23,11 @@
   void testText()
   {
     Metrics metrics(this->clock);
-    metrics.FindCounter("kumquat_x_total", "Xs.", { { "kind", "a\"b" } })
+    metrics.GetOrCreateCounter("kumquat_x_total", "Xs.", { { "kind", "a\"b" } })
       .Add(2);
-    metrics.FindCounter("kumquat_x_total", "", { { "kind", "a\"b" } }).Add();
-    metrics.FindGauge("kumquat_ready", "Ready.").Set(-1);
-    metrics.FindSummary("kumquat_s", "S.", { { "service", "stoc" } })
+    metrics.GetOrCreateCounter("kumquat_x_total", "", { { "kind", "a\"b" } }).Add();
+    metrics.GetOrCreateGauge("kumquat_ready", "Ready.").Set(-1);
+    metrics.GetOrCreateSummary("kumquat_s", "S.", { { "service", "stoc" } })
       .Observe(std::chrono::milliseconds(250));
     const std::string expected =
       "# HELP kumquat_x_total Xs.\n"
--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -65,7 +65,7 @@
              "Requests answered with an error.", "reason")
   , resends(this->metrics, "kumquat_retries_total",
             "Sends after a first one, by reason.", "reason")
-  , answered(this->metrics.FindCounter("kumquat_answers_total",
+  , answered(this->metrics.GetOrCreateCounter("kumquat_answers_total",
                                        "Requests answered by an upstream."))
   , log({ .level = aSettings.logLevel,
           .json = true,
@@ -409,7 +409,7 @@
     this->answered.Add();
     Summary*& summary = this->latencies[aTrace.service];
     if (summary == nullptr) {
-      summary = &this->metrics.FindSummary(
+      summary = &this->metrics.GetOrCreateSummary(
         "kumquat_request_seconds",
         "From a request's arrival at this host to its answer.",
         { { "service", aTrace.service } });
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -198,7 +198,7 @@
 void Gateway::Impl::OnCaughtUp(const std::string& aTable, Duration aBehind)
 {
   this->metrics
-    .FindSummary("kumquat_table_behind_seconds",
+    .GetOrCreateSummary("kumquat_table_behind_seconds",
                  "From a peer's word of a change of a table until this host "
                  "had it.",
                  { { "table", aTable } })
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -93,7 +93,7 @@
 {
   const std::string call(state::StoreCallName(aCall));
   this->metrics
-    .FindCounter("kumquat_store_calls_total", "Calls to the store.",
+    .GetOrCreateCounter("kumquat_store_calls_total", "Calls to the store.",
                  { { "call", call }, { "table", aTable } })
     .Add();
   this->log.Write(Event::kStoreCall, { { "call", call }, { "table", aTable } });
@@ -210,7 +210,7 @@
 {
   const auto set = [this](const char* aName, const char* aHelp,
                           std::int64_t aValue) {
-    this->metrics.FindGauge(aName, aHelp).Set(aValue);
+    this->metrics.GetOrCreateGauge(aName, aHelp).Set(aValue);
   };
   set("kumquat_waiting", "Requests that wait for an upstream.",
       static_cast<std::int64_t>(this->dispatcher->Waiting()));
@@ -224,7 +224,7 @@
       this->keys->IsAssigner() ? 1 : 0);
   set("kumquat_log_lines_dropped",
       "Log lines dropped since the start, as nobody read them.",
-      static_cast<std::int64_t>(this->log.Dropped()));
+      static_cast<std::int64_t>(this->log.DroppedLines()));
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -59,7 +59,7 @@
   , platform(aSettings.ringSize)
   , tick(this->coordination.Context())
 {
-  this->answered = &this->metrics.FindCounter(
+  this->answered = &this->metrics.GetOrCreateCounter(
     "kumquat_answers_total", "Requests answered by an upstream.");
 }
 
@@ -239,7 +239,7 @@
   }
   Summary*& summary = this->latencies[aService];
   if (summary == nullptr) {
-    summary = &this->metrics.FindSummary(
+    summary = &this->metrics.GetOrCreateSummary(
       "kumquat_request_seconds",
       "From a request's arrival at this host to the head of its answer.",
       { { "service", aService.value } });
@@ -257,15 +257,15 @@
   };
   for (const auto& [name, duty] : rings) {
     this->metrics
-      .FindGauge("kumquat_ring_refusals",
+      .GetOrCreateGauge("kumquat_ring_refusals",
                  "Times since the start that a duty's ring was found full.",
                  { { "ring", name } })
       .Set(static_cast<std::int64_t>(duty->Refusals()));
   }
   this->metrics
-    .FindGauge("kumquat_log_lines_dropped",
+    .GetOrCreateGauge("kumquat_log_lines_dropped",
                "Log lines dropped since the start, as nobody read them.")
-    .Set(static_cast<std::int64_t>(this->log.Dropped()));
+    .Set(static_cast<std::int64_t>(this->log.DroppedLines()));
 }
 
 void Node::Impl::CountTry(ErrorKind aKind)
--- a/src/protocol/internal/errorcounters.cpp
+++ b/src/protocol/internal/errorcounters.cpp
@@ -15,7 +15,7 @@
     ErrorAnswers(), std::back_inserter(this->counters),
     [&](const ErrorAnswer& aAnswer) {
       const Labels labels = { { aLabel, std::string(aAnswer.name) } };
-      return &aMetrics.FindCounter(aName, aHelp, labels);
+      return &aMetrics.GetOrCreateCounter(aName, aHelp, labels);
     });
 }
 
