--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -47,9 +47,9 @@
 
 protocol::ErrorKind KindByName(std::string_view aName)
 {
-  const auto answers = protocol::ErrorAnswers();
+  const auto answers = protocol::ErrorTable();
   const auto found =
-    std::ranges::find(answers, aName, &protocol::ErrorAnswer::name);
+    std::ranges::find(answers, aName, &protocol::ErrorInfo::name);
   return found == answers.end() ? protocol::ErrorKind::kInternal : found->kind;
 }
 
--- a/bench/summary.cpp
+++ b/bench/summary.cpp
@@ -65,7 +65,7 @@
         break;
       case Verdict::kRefused:
         ++this->summary
-            .refused[std::string(protocol::AnswerFor(aOutcome.error).name)];
+            .refused[std::string(protocol::ErrorInfoFor(aOutcome.error).name)];
         break;
       case Verdict::kCut:
         ++this->summary.cut;
--- a/src/coordination/internal/atmostonce.cpp
+++ b/src/coordination/internal/atmostonce.cpp
@@ -138,7 +138,7 @@
 void AtMostOnce::OnOwnerResult(const AttemptPtr& aAttempt,
                                RequestResult aResult)
 {
-  const protocol::ErrorAnswer& answer = protocol::AnswerFor(aResult.error);
+  const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aResult.error);
   const TimePoint now = this->hooks.now();
   const bool again =
     WaitsForMap(aResult.error) && answer.outcome == Outcome::kNotRun &&
--- a/src/coordination/internal/duplicatefilter.cpp
+++ b/src/coordination/internal/duplicatefilter.cpp
@@ -23,7 +23,7 @@
 
 Answer AnswerOf(ErrorKind aKind)
 {
-  const auto& row = protocol::AnswerFor(aKind);
+  const auto& row = protocol::ErrorInfoFor(aKind);
   auto answer = std::make_shared<protocol::ForwardReply>();
   answer->error = static_cast<int>(aKind);
   answer->status = row.httpStatus;
@@ -54,7 +54,7 @@
 protocol::Outcome OutcomeOf(const Answer& aAnswer)
 {
   const ErrorKind kind = protocol::ErrorKindFromNumber(aAnswer->error);
-  return protocol::AnswerFor(kind).outcome;
+  return protocol::ErrorInfoFor(kind).outcome;
 }
 
 } // namespace
--- a/src/coordination/internal/entry.cpp
+++ b/src/coordination/internal/entry.cpp
@@ -299,7 +299,7 @@
 void Entry::OnResult(const PendingPtr& aPending, RequestResult aResult)
 {
   const ErrorKind kind = aResult.error;
-  if (protocol::AnswerFor(kind).outcome != Outcome::kNotRun) {
+  if (protocol::ErrorInfoFor(kind).outcome != Outcome::kNotRun) {
     aPending->mayHaveRun = kind;
   }
   if (kind == ErrorKind::kNone || !this->MayRetry(*aPending, kind)) {
@@ -328,7 +328,7 @@
 
 bool Entry::MayRetry(const Pending& aPending, ErrorKind aKind) const
 {
-  const protocol::ErrorAnswer& answer = protocol::AnswerFor(aKind);
+  const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aKind);
   if (!answer.retryable || aPending.tries >= kMostTries) {
     return false;
   }
@@ -354,7 +354,7 @@
   // found no steward, and its "not run" was told as the request's. It is true
   // of the whole request only where it is true of every try.
   const bool notRun =
-    protocol::AnswerFor(aResult.error).outcome == Outcome::kNotRun;
+    protocol::ErrorInfoFor(aResult.error).outcome == Outcome::kNotRun;
   if (notRun && aPending->mayHaveRun) {
     aResult = MakeError(*aPending->mayHaveRun);
   }
--- a/src/coordination/internal/operatorapi.cpp
+++ b/src/coordination/internal/operatorapi.cpp
@@ -61,7 +61,7 @@
 
 HttpResponse ToResponse(const Refusal& aRefusal)
 {
-  const protocol::ErrorAnswer& answer = protocol::AnswerFor(aRefusal.kind);
+  const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aRefusal.kind);
   const std::string_view outcome =
     protocol::OutcomeName(aRefusal.outcome.value_or(answer.outcome));
   ordered_json body = { { "error", answer.name },
--- a/src/coordination/internal/operatorstatus.cpp
+++ b/src/coordination/internal/operatorstatus.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using nlohmann::ordered_json;
-using protocol::ErrorAnswer;
+using protocol::ErrorInfo;
 using protocol::ErrorKind;
 using state::HostRecord;
 using state::ServiceConfiguration;
@@ -143,7 +143,7 @@
 ordered_json KindsToJson(const std::function<std::uint64_t(ErrorKind)>& aCount)
 {
   ordered_json kinds = ordered_json::object();
-  for (const ErrorAnswer& answer : protocol::ErrorAnswers()) {
+  for (const ErrorInfo& answer : protocol::ErrorTable()) {
     const std::uint64_t count = aCount(answer.kind);
     if (count > 0) {
       kinds[std::string(answer.name)] = count;
--- a/src/coordination/tests/atmostonce_test.cpp
+++ b/src/coordination/tests/atmostonce_test.cpp
@@ -64,7 +64,7 @@
     this->isReachable = false;
     this->Run();
     this->PassUntilAnswered();
-    CPPUNIT_ASSERT(protocol::AnswerFor(this->answer->error).outcome !=
+    CPPUNIT_ASSERT(protocol::ErrorInfoFor(this->answer->error).outcome !=
                    Outcome::kNotRun);
   }
 
@@ -75,7 +75,7 @@
     this->reply.__set_keyUnknown(true);
     this->Run();
     this->PassUntilAnswered();
-    CPPUNIT_ASSERT(protocol::AnswerFor(this->answer->error).outcome !=
+    CPPUNIT_ASSERT(protocol::ErrorInfoFor(this->answer->error).outcome !=
                    Outcome::kNotRun);
   }
 
--- a/src/framework/tests/metrics_test.cpp
+++ b/src/framework/tests/metrics_test.cpp
@@ -87,7 +87,7 @@
                                      "Refusals.", "kind");
     refusals.Add(protocol::ErrorKind::kInternal);
     const std::string text = metrics.Text();
-    for (const protocol::ErrorAnswer& answer : protocol::ErrorAnswers()) {
+    for (const protocol::ErrorInfo& answer : protocol::ErrorTable()) {
       const std::string line =
         "kumquat_refusals_total{kind=\"" + std::string(answer.name) + "\"} " +
         (answer.kind == protocol::ErrorKind::kInternal ? "1\n" : "0\n");
--- a/src/node/internal/callers.cpp
+++ b/src/node/internal/callers.cpp
@@ -129,7 +129,7 @@
 
 HttpResponse ErrorResponse(ErrorKind aKind)
 {
-  const protocol::ErrorAnswer& answer = protocol::AnswerFor(aKind);
+  const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aKind);
   const std::string outcome(protocol::OutcomeName(answer.outcome));
   HttpResponse response;
   response.status = answer.httpStatus;
--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -424,7 +424,7 @@
   } else {
     this->refusals.Add(aTrace.error);
   }
-  const protocol::ErrorAnswer& answer = protocol::AnswerFor(aTrace.error);
+  const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aTrace.error);
   const Event event = aTrace.error == ErrorKind::kNone ? Event::kRequestAnswered
                       : answer.outcome == protocol::Outcome::kNotRun
                         ? Event::kRequestRefused
--- a/src/protocol/errorkind.h
+++ b/src/protocol/errorkind.h
@@ -60,7 +60,7 @@
   kRan,
 };
 
-struct ErrorAnswer
+struct ErrorInfo
 {
   ErrorKind kind;
   // Stable; used in counters, logs and the Kumquat-Error header.
@@ -76,9 +76,9 @@
 };
 
 // The whole table, in the order of the enumeration.
-std::span<const ErrorAnswer> ErrorAnswers();
+std::span<const ErrorInfo> ErrorTable();
 
-const ErrorAnswer& AnswerFor(ErrorKind aKind);
+const ErrorInfo& ErrorInfoFor(ErrorKind aKind);
 
 // kInternal for a number that is not in the list (a newer peer's kind).
 ErrorKind ErrorKindFromNumber(int aNumber);
--- a/src/protocol/internal/errorcounters.cpp
+++ b/src/protocol/internal/errorcounters.cpp
@@ -12,8 +12,8 @@
                              std::string_view aHelp, const std::string& aLabel)
 {
   std::ranges::transform(
-    ErrorAnswers(), std::back_inserter(this->counters),
-    [&](const ErrorAnswer& aAnswer) {
+    ErrorTable(), std::back_inserter(this->counters),
+    [&](const ErrorInfo& aAnswer) {
       const Labels labels = { { aLabel, std::string(aAnswer.name) } };
       return &aMetrics.GetOrCreateCounter(aName, aHelp, labels);
     });
--- a/src/protocol/tests/callerspage_test.cpp
+++ b/src/protocol/tests/callerspage_test.cpp
@@ -24,18 +24,18 @@
     const std::ifstream file(KUMQUAT_DOCS "/CALLERS.md");
     std::ostringstream page;
     page << file.rdbuf();
-    for (const ErrorAnswer& answer : ErrorAnswers().subspan(1)) {
+    for (const ErrorInfo& answer : ErrorTable().subspan(1)) {
       const std::string row = RowOf(answer);
       CPPUNIT_ASSERT_MESSAGE("the page lacks: " + row,
                              page.str().find("\n" + row) != std::string::npos);
     }
-    CPPUNIT_ASSERT_EQUAL(ErrorAnswers().size() - 1,
+    CPPUNIT_ASSERT_EQUAL(ErrorTable().size() - 1,
                          RowsIn(ErrorsOf(page.str())));
   }
 
 private:
   // The page goes on with the meaning, which the code does not have.
-  static std::string RowOf(const ErrorAnswer& aAnswer)
+  static std::string RowOf(const ErrorInfo& aAnswer)
   {
     std::ostringstream row;
     row << "| `" << aAnswer.name << "` | " << aAnswer.httpStatus << " | "
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -453,7 +453,7 @@
   const bool sent = aError != TransportError::kUnreachable;
   this->LeaveUpstream(*request,
                       sent ? AnswerClass::kFailed : AnswerClass::kUnreachable,
-                      {}, protocol::AnswerFor(kind).name);
+                      {}, protocol::ErrorInfoFor(kind).name);
   request->mayHaveRunAt += sent ? 1 : 0;
   this->Resend(request, kind);
   this->Pump(service);
@@ -531,7 +531,7 @@
     return;
   }
   const bool saysUnknown =
-    protocol::AnswerFor(aError).outcome == protocol::Outcome::kUnknown;
+    protocol::ErrorInfoFor(aError).outcome == protocol::Outcome::kUnknown;
   this->Finish(aRequest,
                { {}, saysUnknown ? aError : ErrorKind::kUpstreamBroken, {} });
 }
@@ -569,7 +569,7 @@
   trace.error = aAnswer.error;
   trace.status = aAnswer.message
                    ? aAnswer.message->status
-                   : protocol::AnswerFor(aAnswer.error).httpStatus;
+                   : protocol::ErrorInfoFor(aAnswer.error).httpStatus;
   trace.waited = ToMs(aRequest->sends == 0 ? now - aRequest->caller.arrived
                                            : aRequest->waited);
   trace.took = ToMs(now - aRequest->caller.arrived);
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -808,7 +808,7 @@
 
   Outcome OutcomeOf(RequestNumber aNumber) const
   {
-    return protocol::AnswerFor(this->answers.at(aNumber).error).outcome;
+    return protocol::ErrorInfoFor(this->answers.at(aNumber).error).outcome;
   }
 
   TimePoint now;
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadworld.h
@@ -428,7 +428,7 @@
       return;
     }
     const bool notRun =
-      protocol::AnswerFor(aAnswer.error).outcome == protocol::Outcome::kNotRun;
+      protocol::ErrorInfoFor(aAnswer.error).outcome == protocol::Outcome::kNotRun;
     ++(notRun ? this->result.refused : this->result.lost);
   }
 
