--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -104,7 +104,7 @@
   options.maxIdle = kIdleConnections;
   this->orderClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
-  options.echoHeader = platform::EchoHeader();
+  options.echoHeader = platform::RequestIdHeader();
   options.errorsNeedEcho = false;
   options.wholeBodyBytes = kWholeAnswer;
   this->upstreamClient =
@@ -175,7 +175,7 @@
   options.refuse = [this](transport::ServerRefusal aRefusal) {
     const ErrorKind kind = KindOf(aRefusal);
     this->refusals.Add(kind);
-    return platform::MakeError(kind);
+    return platform::MakeErrorResponse(kind);
   };
   return Keep(
     transport::HttpServer::Listen(this->serving.Context(), std::move(options)),
@@ -328,11 +328,11 @@
                              const transport::HttpServer::Respond& aRespond)
 {
   const auto link = aRequest.link;
-  auto request = platform::ReadRequest(std::move(aRequest), BootTime());
+  auto request = platform::ParseCallerRequest(std::move(aRequest), BootTime());
   if (!request) {
     const auto kind = static_cast<ErrorKind>(request.error().value());
     this->refusals.Add(kind);
-    aRespond(platform::MakeError(kind));
+    aRespond(platform::MakeErrorResponse(kind));
     return;
   }
   const std::string id = request->id;
@@ -345,7 +345,7 @@
   }
   const routing::RequestNumber number = this->dispatcher->OnRequest(
     std::move(*request), [id, aRespond](routing::CallerAnswer aAnswer) {
-      aRespond(platform::MakeAnswer(std::move(aAnswer), id));
+      aRespond(platform::MakeCallerResponse(std::move(aAnswer), id));
     });
   link->onGone = [this, number] {
     this->dispatcher->OnCallerGone(number);
@@ -371,7 +371,7 @@
       this->calls.erase(number);
       if (aAnswer) {
         this->dispatcher->OnAnswer(
-          number, platform::ReadUpstreamAnswer(std::move(*aAnswer)));
+          number, platform::ParseUpstreamResponse(std::move(*aAnswer)));
       } else {
         this->dispatcher->OnSendFailed(
           number,
@@ -387,11 +387,11 @@
 {
   const bool grants = aOrder.kind == ownership::OrderKind::kGrant;
   this->orderClient->Send(
-    aOrder.address, platform::MakeOrder(aOrder),
+    aOrder.address, platform::MakeLeaseCommandRequest(aOrder),
     grants ? kGrantTimeout : kReleaseTimeout,
     [done = std::move(aDone)](const Result<HttpResponse>& aAnswer) {
       if (aAnswer) {
-        done(platform::ReadOrderReply(*aAnswer));
+        done(platform::ParseLeaseCommandReply(*aAnswer));
         return;
       }
       const bool sent =
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -105,7 +105,7 @@
     this->tables->Find(std::string(platform::kOperatorTable));
   std::set<state::DataCentre> out;
   for (const auto& [key, row] : copy.rows) {
-    if (const auto centre = platform::ReadOutRow(key)) {
+    if (const auto centre = platform::ParseEvacuationRow(key)) {
       out.insert(*centre);
     }
   }
@@ -137,7 +137,7 @@
     return;
   }
   this->configurationRow = aRow.version;
-  auto configuration = platform::ReadConfiguration(aRow.value);
+  auto configuration = platform::ParseConfiguration(aRow.value);
   if (!configuration) {
     this->log.Write(Event::kConfigurationInvalid,
                     { { "row_version", aRow.version } });
@@ -180,7 +180,7 @@
   const TimePoint now = BootTime();
   for (const state::StoredRow& row : aChanged) {
     const auto entry =
-      row.removed ? std::nullopt : platform::ReadUpstream(row.key, row.value);
+      row.removed ? std::nullopt : platform::ParseUpstreamEntry(row.key, row.value);
     if (entry) {
       const routing::EntryChange change = this->upstreams.Put(*entry, now);
       this->log.Write(
