--- a/src/node/tests/storeduty_test.cpp
+++ b/src/node/tests/storeduty_test.cpp
@@ -2,7 +2,7 @@
 
 #include "node/internal/clocks.h"
 #include "node/internal/storeduty.h"
-#include "platform/tests/storestandin.h"
+#include "platform/tests/fakestoreserver.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -72,7 +72,7 @@
     this->FollowBoth();
     this->AwaitRow("i-1", false);
     std::this_thread::sleep_for(milliseconds(400));
-    this->store->BreakWaiting();
+    this->store->CloseWaitingCalls();
     std::this_thread::sleep_for(milliseconds(1200));
     this->store->Remove("i-1");
     CPPUNIT_ASSERT(this->AwaitRow("i-1", true).grace == milliseconds(0));
@@ -86,7 +86,7 @@
     this->FollowBoth();
     this->AwaitRow("i-1", false);
     std::this_thread::sleep_for(milliseconds(400));
-    this->store->BreakWaiting();
+    this->store->CloseWaitingCalls();
     this->store->Remove("i-1");
     CPPUNIT_ASSERT(this->AwaitRow("i-1", true).grace == milliseconds(0));
   }
@@ -110,26 +110,26 @@
   void testLargeTableOverASlowLinkIsReadOnce()
   {
     this->store->Put("config", std::string(400'000, 'x'));
-    this->store->SetSlow(6, milliseconds(400));
+    this->store->SetSlowReads(6, milliseconds(400));
     this->FollowBoth();
     for (int i = 0; i < 6; ++i) {
       std::this_thread::sleep_for(milliseconds(400));
       this->duty->ReadAnew("op");
     }
     this->AwaitRow("config", false);
-    CPPUNIT_ASSERT_EQUAL(2, this->store->Reads());
+    CPPUNIT_ASSERT_EQUAL(2, this->store->ReadCount());
   }
 
   // The answer was not listened to, and the next read waited for its time-out.
   void testReadUnderWayCountsWhenAHostStopsFollowing()
   {
     this->store->Put("config", std::string(400'000, 'x'));
-    this->store->SetSlow(6, milliseconds(100));
+    this->store->SetSlowReads(6, milliseconds(100));
     this->FollowBoth();
     std::this_thread::sleep_for(milliseconds(200));
     this->duty->Follow({}, false);
     this->AwaitRow("config", false);
-    CPPUNIT_ASSERT_EQUAL(2, this->store->Reads());
+    CPPUNIT_ASSERT_EQUAL(2, this->store->ReadCount());
   }
 
   // A large row that was arriving was asked of a peer as well, over the same
@@ -137,7 +137,7 @@
   void testBytesOfAWholeReadCountAsHeard()
   {
     this->store->Put("config", std::string(400'000, 'x'));
-    this->store->SetSlow(6, milliseconds(300));
+    this->store->SetSlowReads(6, milliseconds(300));
     this->FollowBoth();
     std::this_thread::sleep_for(milliseconds(1200));
     const Duration since = BootTime() - this->duty->HeardAt("op");
@@ -153,7 +153,7 @@
     const TableNews first = this->AwaitRow("i-2", false);
     CPPUNIT_ASSERT(!first.whole);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, first.rows.size());
-    CPPUNIT_ASSERT_EQUAL(0, this->store->Reads());
+    CPPUNIT_ASSERT_EQUAL(0, this->store->ReadCount());
   }
 
   // Hundreds stand in for those that the store turned away, and it is out.
@@ -164,7 +164,7 @@
     this->duty->Follow({ { "op", 0 }, { "servers", 0 } }, true);
     this->AwaitWell(false);
     std::this_thread::sleep_for(milliseconds(1000));
-    CPPUNIT_ASSERT(this->store->Calls() <= 4);
+    CPPUNIT_ASSERT(this->store->CallCount() <= 4);
     this->store->SetDown(false);
     this->AwaitWell(true);
     this->AwaitRow("i-1", false);
@@ -241,7 +241,7 @@
   std::condition_variable changed;
   std::vector<TableNews> news;
   bool well = true;
-  std::optional<StoreStandIn> store;
+  std::optional<FakeStoreServer> store;
   std::optional<transport::DutyThread> thread;
   std::optional<StoreDuty> duty;
 };
