--- a/src/framework/internal/metrics.cpp
+++ b/src/framework/internal/metrics.cpp
@@ -222,24 +222,26 @@
 
 Metrics::~Metrics() = default;
 
-Counter& Metrics::GetOrCreateCounter(const std::string& aName, std::string_view aHelp,
-                              const Labels& aLabels)
+Counter& Metrics::GetOrCreateCounter(const std::string& aName,
+                                     std::string_view aHelp,
+                                     const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
   return Find(this->counters, aName, aHelp, aLabels,
               [] { return std::make_unique<Counter>(); });
 }
 
-Gauge& Metrics::GetOrCreateGauge(const std::string& aName, std::string_view aHelp,
-                          const Labels& aLabels)
+Gauge& Metrics::GetOrCreateGauge(const std::string& aName,
+                                 std::string_view aHelp, const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
   return Find(this->gauges, aName, aHelp, aLabels,
               [] { return std::make_unique<Gauge>(); });
 }
 
-Summary& Metrics::GetOrCreateSummary(const std::string& aName, std::string_view aHelp,
-                              const Labels& aLabels)
+Summary& Metrics::GetOrCreateSummary(const std::string& aName,
+                                     std::string_view aHelp,
+                                     const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
   return Find(this->summaries, aName, aHelp, aLabels,
--- a/src/framework/metrics.h
+++ b/src/framework/metrics.h
@@ -121,11 +121,11 @@
   // follow Prometheus' conventions ("kumquat_requests_total"); a name keeps
   // the kind and the help that it was first given.
   Counter& GetOrCreateCounter(const std::string& aName, std::string_view aHelp,
-                       const Labels& aLabels = {});
+                              const Labels& aLabels = {});
   Gauge& GetOrCreateGauge(const std::string& aName, std::string_view aHelp,
-                   const Labels& aLabels = {});
+                          const Labels& aLabels = {});
   Summary& GetOrCreateSummary(const std::string& aName, std::string_view aHelp,
-                       const Labels& aLabels = {});
+                              const Labels& aLabels = {});
 
   // The whole registry in Prometheus' text format, version 0.0.4.
   std::string Text() const;
--- a/src/framework/tests/metrics_test.cpp
+++ b/src/framework/tests/metrics_test.cpp
@@ -25,7 +25,8 @@
     Metrics metrics(this->clock);
     metrics.GetOrCreateCounter("kumquat_x_total", "Xs.", { { "kind", "a\"b" } })
       .Add(2);
-    metrics.GetOrCreateCounter("kumquat_x_total", "", { { "kind", "a\"b" } }).Add();
+    metrics.GetOrCreateCounter("kumquat_x_total", "", { { "kind", "a\"b" } })
+      .Add();
     metrics.GetOrCreateGauge("kumquat_ready", "Ready.").Set(-1);
     metrics.GetOrCreateSummary("kumquat_s", "S.", { { "service", "stoc" } })
       .Observe(std::chrono::milliseconds(250));
--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -65,8 +65,8 @@
              "Requests answered with an error.", "reason")
   , resends(this->metrics, "kumquat_retries_total",
             "Sends after a first one, by reason.", "reason")
-  , answered(this->metrics.GetOrCreateCounter("kumquat_answers_total",
-                                       "Requests answered by an upstream."))
+  , answered(this->metrics.GetOrCreateCounter(
+      "kumquat_answers_total", "Requests answered by an upstream."))
   , log({ .level = aSettings.logLevel,
           .json = true,
           .host = aSettings.host.value,
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -198,10 +198,11 @@
 void Gateway::Impl::OnCaughtUp(const std::string& aTable, Duration aBehind)
 {
   this->metrics
-    .GetOrCreateSummary("kumquat_table_behind_seconds",
-                 "From a peer's word of a change of a table until this host "
-                 "had it.",
-                 { { "table", aTable } })
+    .GetOrCreateSummary(
+      "kumquat_table_behind_seconds",
+      "From a peer's word of a change of a table until this host "
+      "had it.",
+      { { "table", aTable } })
     .Observe(aBehind);
   const auto behindMs =
     std::chrono::duration_cast<milliseconds>(aBehind).count();
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -94,7 +94,7 @@
   const std::string call(state::StoreCallName(aCall));
   this->metrics
     .GetOrCreateCounter("kumquat_store_calls_total", "Calls to the store.",
-                 { { "call", call }, { "table", aTable } })
+                        { { "call", call }, { "table", aTable } })
     .Add();
   this->log.Write(Event::kStoreCall, { { "call", call }, { "table", aTable } });
 }
@@ -179,8 +179,9 @@
 {
   const TimePoint now = BootTime();
   for (const state::StoredRow& row : aChanged) {
-    const auto entry =
-      row.removed ? std::nullopt : platform::ParseUpstreamEntry(row.key, row.value);
+    const auto entry = row.removed
+                         ? std::nullopt
+                         : platform::ParseUpstreamEntry(row.key, row.value);
     if (entry) {
       const routing::EntryChange change = this->upstreams.Put(*entry, now);
       this->log.Write(
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -257,14 +257,15 @@
   };
   for (const auto& [name, duty] : rings) {
     this->metrics
-      .GetOrCreateGauge("kumquat_ring_refusals",
-                 "Times since the start that a duty's ring was found full.",
-                 { { "ring", name } })
+      .GetOrCreateGauge(
+        "kumquat_ring_refusals",
+        "Times since the start that a duty's ring was found full.",
+        { { "ring", name } })
       .Set(static_cast<std::int64_t>(duty->Refusals()));
   }
   this->metrics
     .GetOrCreateGauge("kumquat_log_lines_dropped",
-               "Log lines dropped since the start, as nobody read them.")
+                      "Log lines dropped since the start, as nobody read them.")
     .Set(static_cast<std::int64_t>(this->log.DroppedLines()));
 }
 
--- a/src/protocol/tests/callerspage_test.cpp
+++ b/src/protocol/tests/callerspage_test.cpp
@@ -29,8 +29,7 @@
       CPPUNIT_ASSERT_MESSAGE("the page lacks: " + row,
                              page.str().find("\n" + row) != std::string::npos);
     }
-    CPPUNIT_ASSERT_EQUAL(ErrorTable().size() - 1,
-                         RowsIn(ErrorsOf(page.str())));
+    CPPUNIT_ASSERT_EQUAL(ErrorTable().size() - 1, RowsIn(ErrorsOf(page.str())));
   }
 
 private:
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadworld.h
@@ -427,8 +427,8 @@
       this->result.far += this->answerIsFar ? 1 : 0;
       return;
     }
-    const bool notRun =
-      protocol::ErrorInfoFor(aAnswer.error).outcome == protocol::Outcome::kNotRun;
+    const bool notRun = protocol::ErrorInfoFor(aAnswer.error).outcome ==
+                        protocol::Outcome::kNotRun;
     ++(notRun ? this->result.refused : this->result.lost);
   }
 
