--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -292,8 +292,8 @@
                        state::RowStore::WriteDone aDone) {
     this->WriteRows(aWrite, std::move(aDone));
   };
-  hooks.order = [this](const ownership::Order& aOrder,
-                       ownership::Assigner::OrderDone aDone) {
+  hooks.order = [this](const ownership::LeaseCommand& aOrder,
+                       ownership::Assigner::CommandDone aDone) {
     this->SendOrder(aOrder, std::move(aDone));
   };
   hooks.preference = [this](const state::HostId& aHost) {
@@ -382,10 +382,10 @@
   this->calls[number] = call;
 }
 
-void Gateway::Impl::SendOrder(const ownership::Order& aOrder,
-                              ownership::Assigner::OrderDone aDone)
+void Gateway::Impl::SendOrder(const ownership::LeaseCommand& aOrder,
+                              ownership::Assigner::CommandDone aDone)
 {
-  const bool grants = aOrder.kind == ownership::OrderKind::kGrant;
+  const bool grants = aOrder.kind == ownership::LeaseCommandKind::kGrant;
   this->orderClient->Send(
     aOrder.address, platform::MakeLeaseCommandRequest(aOrder),
     grants ? kGrantTimeout : kReleaseTimeout,
@@ -396,8 +396,8 @@
       }
       const bool sent =
         aAnswer.error() != transport::TransportError::kUnreachable;
-      done({ sent ? ownership::OrderResult::kNoAnswer
-                  : ownership::OrderResult::kUnreachable,
+      done({ sent ? ownership::LeaseCommandResult::kNoAnswer
+                  : ownership::LeaseCommandResult::kUnreachable,
              {} });
     });
 }
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -63,8 +63,8 @@
   void OnCaller(transport::HttpRequest&& aRequest,
                 const transport::HttpServer::Respond& aRespond);
   void SendUpstream(const routing::UpstreamSend& aSend);
-  void SendOrder(const ownership::Order& aOrder,
-                 ownership::Assigner::OrderDone aDone);
+  void SendOrder(const ownership::LeaseCommand& aOrder,
+                 ownership::Assigner::CommandDone aDone);
   void OnEnded(const routing::RequestTrace& aTrace);
   void OnFrame(const protocol::HostRef& aFrom, const protocol::Frame& aFrame);
   void OnDigest(const protocol::HostDigest& aDigest);
--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -85,7 +85,7 @@
                                ownership::Assigner::WriteDone aDone) {
     this->Write(aService, aWrite, std::move(aDone));
   };
-  own.order = this->hooks.order;
+  own.sendCommand = this->hooks.order;
   own.owners = [this, aService] { return this->OwnersOf(aService); };
   own.peers = [this, aService] { return this->peers.ViewsOf(aService); };
   own.publish = [this, aService] { this->Publish(aService); };
--- a/src/node/internal/keysduty.h
+++ b/src/node/internal/keysduty.h
@@ -31,7 +31,7 @@
       read;
     std::function<void(const state::RowsWrite&, state::RowStore::WriteDone)>
       write;
-    std::function<void(const ownership::Order&, ownership::Assigner::OrderDone)>
+    std::function<void(const ownership::LeaseCommand&, ownership::Assigner::CommandDone)>
       order;
     // Of Assigner::Hooks.
     std::function<double(const state::HostId&)> preference;
--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -43,27 +43,27 @@
 
 namespace kumquat::ownership {
 
-enum class OrderKind
+enum class LeaseCommandKind
 {
   kGrant,
   kRelease,
 };
 
-struct Order
+struct LeaseCommand
 {
-  OrderKind kind = OrderKind::kGrant;
+  LeaseCommandKind kind = LeaseCommandKind::kGrant;
   state::UpstreamId upstream;
   std::string address;
   Key first = 0;
   Key last = 0;
-  Fence fence = 0;
+  Fence fencingToken = 0;
   // Of grants.
-  std::chrono::milliseconds hold{ 0 };
+  std::chrono::milliseconds leaseDuration{ 0 };
   // What the former holder left for this one; may be empty.
   std::string handover;
 };
 
-enum class OrderResult
+enum class LeaseCommandResult
 {
   kDone,
   // A higher token was seen on one of the keys.
@@ -77,11 +77,11 @@
   kUnreachable,
 };
 
-std::string_view OrderResultName(OrderResult aResult);
+std::string_view LeaseCommandResultName(LeaseCommandResult aResult);
 
-struct OrderReply
+struct LeaseCommandReply
 {
-  OrderResult result = OrderResult::kNoAnswer;
+  LeaseCommandResult result = LeaseCommandResult::kNoAnswer;
   std::string handover;
 };
 
@@ -134,7 +134,7 @@
   using ReadDone = std::function<void(Result<StoredKeys>)>;
   // The version is that of the write, where it was written.
   using WriteDone = std::function<void(state::WriteOutcome, state::Version)>;
-  using OrderDone = std::function<void(OrderReply)>;
+  using CommandDone = std::function<void(LeaseCommandReply)>;
 
   struct Hooks
   {
@@ -142,7 +142,7 @@
     Clock now;
     std::function<void(ReadDone)> read;
     std::function<void(KeysWrite, WriteDone)> write;
-    std::function<void(const Order&, OrderDone)> order;
+    std::function<void(const LeaseCommand&, CommandDone)> sendCommand;
     std::function<std::vector<OwnerView>()> owners;
     // All other hosts that were ever heard.
     std::function<std::vector<PeerView>()> peers;
@@ -265,7 +265,7 @@
   void DriveFormers(std::size_t aIndex);
   void Release(std::size_t aIndex, std::size_t aFormer);
   void Grant(std::size_t aIndex);
-  void OnGranted(Key aFirst, Fence aFence, const OrderReply& aReply);
+  void OnGranted(Key aFirst, Fence aFence, const LeaseCommandReply& aReply);
   Range* FindRange(Key aFirst, Fence aFence);
 
   void Plan();
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -47,20 +47,20 @@
 
 } // namespace
 
-std::string_view OrderResultName(OrderResult aResult)
+std::string_view LeaseCommandResultName(LeaseCommandResult aResult)
 {
   switch (aResult) {
-    case OrderResult::kDone:
+    case LeaseCommandResult::kDone:
       return "done";
-    case OrderResult::kFenced:
+    case LeaseCommandResult::kFenced:
       return "fenced";
-    case OrderResult::kOtherUpstream:
+    case LeaseCommandResult::kOtherUpstream:
       return "other-upstream";
-    case OrderResult::kRejected:
+    case LeaseCommandResult::kRejected:
       return "rejected";
-    case OrderResult::kNoAnswer:
+    case LeaseCommandResult::kNoAnswer:
       return "no-answer";
-    case OrderResult::kUnreachable:
+    case LeaseCommandResult::kUnreachable:
       return "unreachable";
   }
   return "unknown";
--- a/src/ownership/internal/assignerorders.cpp
+++ b/src/ownership/internal/assignerorders.cpp
@@ -217,16 +217,16 @@
     return;
   }
   former.asked = true;
-  Order order;
-  order.kind = OrderKind::kRelease;
+  LeaseCommand order;
+  order.kind = LeaseCommandKind::kRelease;
   order.upstream = former.holder.upstream;
   order.address = owner->address;
   order.first = range.stored.first;
   order.last = range.stored.last;
-  order.fence = range.stored.fence;
-  this->hooks.order(order, [this, first = range.stored.first,
+  order.fencingToken = range.stored.fence;
+  this->hooks.sendCommand(order, [this, first = range.stored.first,
                             fence = range.stored.fence,
-                            holder = former.holder](const OrderReply& aReply) {
+                            holder = former.holder](const LeaseCommandReply& aReply) {
     Range* found = this->FindRange(first, fence);
     if (found == nullptr) {
       return;
@@ -238,8 +238,8 @@
     }
     asked->asked = false;
     asked->askAgain = this->hooks.now() + kRetryOrder;
-    if (aReply.result == OrderResult::kDone ||
-        aReply.result == OrderResult::kOtherUpstream) {
+    if (aReply.result == LeaseCommandResult::kDone ||
+        aReply.result == LeaseCommandResult::kOtherUpstream) {
       found->formers.erase(asked);
       found->handover = aReply.handover;
       this->Drive();
@@ -261,17 +261,17 @@
   range.asked = true;
   range.lapsesAt = std::max(range.lapsesAt, this->LapseFromNow());
   range.nextGrant = now + this->hold / kRenewalsInHold;
-  Order order;
+  LeaseCommand order;
   order.upstream = range.stored.holder.upstream;
   order.address = owner->address;
   order.first = range.stored.first;
   order.last = range.stored.last;
-  order.fence = range.stored.fence;
-  order.hold = this->hold;
+  order.fencingToken = range.stored.fence;
+  order.leaseDuration = this->hold;
   order.handover = range.handover;
-  this->hooks.order(order,
+  this->hooks.sendCommand(order,
                     [this, first = range.stored.first,
-                     fence = range.stored.fence](const OrderReply& aReply) {
+                     fence = range.stored.fence](const LeaseCommandReply& aReply) {
                       this->OnGranted(first, fence, aReply);
                     });
 }
@@ -288,7 +288,7 @@
   return found == this->ranges.end() ? nullptr : &*found;
 }
 
-void Assigner::OnGranted(Key aFirst, Fence aFence, const OrderReply& aReply)
+void Assigner::OnGranted(Key aFirst, Fence aFence, const LeaseCommandReply& aReply)
 {
   Range* range = this->FindRange(aFirst, aFence);
   if (range == nullptr) {
@@ -296,7 +296,7 @@
   }
   const TimePoint now = this->hooks.now();
   range->asked = false;
-  if (aReply.result == OrderResult::kDone) {
+  if (aReply.result == LeaseCommandResult::kDone) {
     range->lastAnswer = now;
     range->failures = 0;
     this->troubled.erase(range->stored.holder.upstream);
@@ -313,12 +313,12 @@
   range->nextGrant = now + kRetryOrder;
   this->hooks.log("grant-failed",
                   Describe(range->stored) + ": " +
-                    std::string(OrderResultName(aReply.result)));
-  const bool surely = aReply.result == OrderResult::kFenced ||
-                      aReply.result == OrderResult::kOtherUpstream;
+                    std::string(LeaseCommandResultName(aReply.result)));
+  const bool surely = aReply.result == LeaseCommandResult::kFenced ||
+                      aReply.result == LeaseCommandResult::kOtherUpstream;
   const bool silent = range->failures >= kFailuresToLose &&
                       (now - range->lastAnswer >= kSilentHolder ||
-                       aReply.result == OrderResult::kUnreachable);
+                       aReply.result == LeaseCommandResult::kUnreachable);
   if (surely || silent) {
     this->SetTroubled(range->stored.holder.upstream);
     this->planDue = now;
--- a/src/ownership/tests/keysworld.h
+++ b/src/ownership/tests/keysworld.h
@@ -314,7 +314,7 @@
                                Assigner::WriteDone aDone) {
       this->Write(weak.lock(), aWrite, std::move(aDone));
     };
-    hooks.order = [this, weak](const Order& aOrder, Assigner::OrderDone aDone) {
+    hooks.sendCommand = [this, weak](const LeaseCommand& aOrder, Assigner::CommandDone aDone) {
       this->Carry(weak.lock(), aOrder, std::move(aDone));
     };
     hooks.owners = [this] {
@@ -403,14 +403,14 @@
     return version;
   }
 
-  void Carry(const HostPtr& aHost, const Order& aOrder,
-             Assigner::OrderDone aDone)
+  void Carry(const HostPtr& aHost, const LeaseCommand& aOrder,
+             Assigner::CommandDone aDone)
   {
     this->At(kWay, [this, aHost, order = aOrder, done = std::move(aDone)] {
       FakeUpstream& upstream = this->upstreams.at(order.upstream.value);
       const auto noAnswer = [this, aHost, done] {
         this->OnHost(aHost, kOrderTimeout, [done] {
-          done({ OrderResult::kNoAnswer, {} });
+          done({ LeaseCommandResult::kNoAnswer, {} });
         });
       };
       if (!upstream.alive || upstream.silent) {
@@ -418,7 +418,7 @@
         return;
       }
       const TimePoint arrived = this->now;
-      if (upstream.late.count() > 0 && order.kind == OrderKind::kGrant) {
+      if (upstream.late.count() > 0 && order.kind == LeaseCommandKind::kGrant) {
         this->At(
           upstream.late, [this, order, arrived, born = upstream.holder.born] {
             FakeUpstream& same = this->upstreams.at(order.upstream.value);
@@ -429,48 +429,48 @@
         noAnswer();
         return;
       }
-      const OrderResult result = Apply(upstream, order, arrived);
+      const LeaseCommandResult result = Apply(upstream, order, arrived);
       this->OnHost(aHost, kWay, [done, result] {
-        done({ result, result == OrderResult::kDone ? "work" : "" });
+        done({ result, result == LeaseCommandResult::kDone ? "work" : "" });
       });
     });
   }
 
-  static bool Overlaps(const FakeUpstream::Held& aHeld, const Order& aOrder)
+  static bool Overlaps(const FakeUpstream::Held& aHeld, const LeaseCommand& aOrder)
   {
     return aHeld.first <= aOrder.last && aOrder.first <= aHeld.last;
   }
 
-  static OrderResult Apply(FakeUpstream& aUpstream, const Order& aOrder,
+  static LeaseCommandResult Apply(FakeUpstream& aUpstream, const LeaseCommand& aOrder,
                            TimePoint aArrived)
   {
-    if (aOrder.kind == OrderKind::kRelease) {
+    if (aOrder.kind == LeaseCommandKind::kRelease) {
       ++aUpstream.releases;
       aUpstream.seen.push_back(
-        { aOrder.first, aOrder.last, aOrder.fence, aArrived });
+        { aOrder.first, aOrder.last, aOrder.fencingToken, aArrived });
       Cut(aUpstream.holds, aOrder);
-      return OrderResult::kDone;
+      return LeaseCommandResult::kDone;
     }
     const bool fenced =
       std::ranges::any_of(aUpstream.seen, [&](const FakeUpstream::Held& aSeen) {
-        return Overlaps(aSeen, aOrder) && aSeen.fence > aOrder.fence;
+        return Overlaps(aSeen, aOrder) && aSeen.fence > aOrder.fencingToken;
       });
     if (fenced) {
-      return OrderResult::kFenced;
+      return LeaseCommandResult::kFenced;
     }
     Cut(aUpstream.holds, aOrder);
     Cut(aUpstream.seen, aOrder);
     // Its clock runs 2% slow.
     const auto until =
-      aArrived + std::chrono::duration_cast<Duration>(aOrder.hold * 1.02);
-    const FakeUpstream::Held held{ aOrder.first, aOrder.last, aOrder.fence,
+      aArrived + std::chrono::duration_cast<Duration>(aOrder.leaseDuration * 1.02);
+    const FakeUpstream::Held held{ aOrder.first, aOrder.last, aOrder.fencingToken,
                                    until };
     aUpstream.holds.push_back(held);
     aUpstream.seen.push_back(held);
-    return OrderResult::kDone;
+    return LeaseCommandResult::kDone;
   }
 
-  static void Cut(std::vector<FakeUpstream::Held>& aHolds, const Order& aOrder)
+  static void Cut(std::vector<FakeUpstream::Held>& aHolds, const LeaseCommand& aOrder)
   {
     std::vector<FakeUpstream::Held> left;
     for (const FakeUpstream::Held& held : aHolds) {
