--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -110,7 +110,7 @@
   this->upstreamClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
   this->keys =
-    std::make_unique<Keys>(this->self, this->settings.mostHold, this->upstreams,
+    std::make_unique<Keys>(this->self, this->settings.maxLease, this->upstreams,
                            this->peers, this->KeysHooks());
   this->dispatcher = std::make_unique<routing::Dispatcher>(
     routing::DispatcherOptions{ this->settings.host, this->settings.dataCentre,
--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -55,7 +55,7 @@
 Keys::Keys(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
            routing::Upstreams& aUpstreams, const Peers& aPeers, Hooks aHooks)
   : self(std::move(aSelf))
-  , mostHold(aMostHold)
+  , maxLease(aMostHold)
   , upstreams(aUpstreams)
   , peers(aPeers)
   , hooks(std::move(aHooks))
@@ -98,7 +98,7 @@
     this->hooks.log(aService.value, aWhat, aDetail);
   };
   return std::make_unique<ownership::Assigner>(
-    ownership::Assigner::Options{ aService, this->self, this->mostHold },
+    ownership::Assigner::Options{ aService, this->self, this->maxLease },
     std::move(own));
 }
 
--- a/src/node/internal/keysduty.h
+++ b/src/node/internal/keysduty.h
@@ -123,7 +123,7 @@
   void ReadHolders(const state::ServiceName& aService);
 
   const state::HostRef self;
-  const std::chrono::milliseconds mostHold;
+  const std::chrono::milliseconds maxLease;
   routing::Upstreams& upstreams;
   const Peers& peers;
   const Hooks hooks;
--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -56,7 +56,7 @@
   std::string address;
   Key first = 0;
   Key last = 0;
-  Fence fencingToken = 0;
+  FencingToken fencingToken = 0;
   // Of grants.
   std::chrono::milliseconds leaseDuration{ 0 };
   // What the former holder left for this one; may be empty.
@@ -167,7 +167,7 @@
     state::ServiceName service;
     state::HostRef self;
     // The longest hold that upstreams take.
-    std::chrono::milliseconds mostHold{ 10'000 };
+    std::chrono::milliseconds maxLease{ 10'000 };
   };
 
   Assigner(Options aOptions, Hooks aHooks);
@@ -190,7 +190,7 @@
   MapMark Mark() const;
   std::vector<MapRange> Map() const;
 
-  std::chrono::milliseconds Hold() const { return this->hold; }
+  std::chrono::milliseconds LeaseDuration() const { return this->hold; }
 
 private:
   enum class Phase
@@ -265,8 +265,8 @@
   void DriveFormers(std::size_t aIndex);
   void Release(std::size_t aIndex, std::size_t aFormer);
   void Grant(std::size_t aIndex);
-  void OnGranted(Key aFirst, Fence aFence, const LeaseCommandReply& aReply);
-  Range* FindRange(Key aFirst, Fence aFence);
+  void OnGranted(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply);
+  Range* FindRange(Key aFirst, FencingToken aFence);
 
   void Plan();
   bool PlanLosses(Assignment& aNext, const std::vector<OwnerView>& aOwners);
--- a/src/ownership/assignment.h
+++ b/src/ownership/assignment.h
@@ -15,15 +15,15 @@
 
 namespace kumquat::ownership {
 
-using Fence = std::int64_t;
+using FencingToken = std::int64_t;
 
 // One life of an upstream: a new life holds nothing of what the one before had.
 struct Holder
 {
   state::UpstreamId upstream;
-  std::int64_t born = 0;
+  std::int64_t startedMs = 0;
 
-  bool IsNobody() const { return this->upstream.value.empty(); }
+  bool IsEmpty() const { return this->upstream.value.empty(); }
   friend bool operator==(const Holder&, const Holder&) = default;
 };
 
@@ -33,15 +33,15 @@
   Key last = 0;
   Holder holder;
   // Above every fence that any of these keys had before.
-  Fence fence = 0;
+  FencingToken fencingToken = 0;
   // Who had it before and may still hold it; empty once that is over.
-  std::vector<Holder> previous;
+  std::vector<Holder> previousHolders;
 };
 
 struct Assignment
 {
   // The next fence to be given out.
-  Fence nextFence = 1;
+  FencingToken nextFencingToken = 1;
   // By rising keys, without gaps or overlaps.
   std::vector<AssignedRange> ranges;
 };
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -69,7 +69,7 @@
 Assigner::Assigner(Options aOptions, Hooks aHooks)
   : options(std::move(aOptions))
   , hooks(std::move(aHooks))
-  , hold(std::min(kHold, this->options.mostHold))
+  , hold(std::min(kHold, this->options.maxLease))
   , startedAt(this->hooks.now())
 {
 }
@@ -356,10 +356,10 @@
   for (const AssignedRange& one : parsed->ranges) {
     Range range;
     range.stored = one;
-    range.granted = !isFirst && one.previous.empty();
+    range.granted = !isFirst && one.previousHolders.empty();
     range.foreign = !isFirst;
     range.lastAnswer = now;
-    for (const Holder& holder : one.previous) {
+    for (const Holder& holder : one.previousHolders) {
       range.formers.push_back({ holder, {}, true, false, {} });
     }
     this->ranges.push_back(std::move(range));
--- a/src/ownership/internal/assignerorders.cpp
+++ b/src/ownership/internal/assignerorders.cpp
@@ -28,7 +28,7 @@
 std::string Describe(const AssignedRange& aRange)
 {
   return std::to_string(aRange.first) + "-" + std::to_string(aRange.last) +
-         " fence " + std::to_string(aRange.fence) + " to " +
+         " fence " + std::to_string(aRange.fencingToken) + " to " +
          aRange.holder.upstream.value;
 }
 
@@ -131,7 +131,7 @@
     if (old.stored.last < aStored.first || old.stored.first > aStored.last) {
       continue;
     }
-    if (old.stored.fence == aStored.fence) {
+    if (old.stored.fencingToken == aStored.fencingToken) {
       Range kept = old;
       kept.stored = aStored;
       // An order under way named other keys; its end finds nothing.
@@ -195,7 +195,7 @@
       });
     // A new life holds nothing of the one before.
     const bool reborn =
-      owner != this->owners.end() && owner->holder.born > aFormer.holder.born;
+      owner != this->owners.end() && owner->holder.startedMs > aFormer.holder.startedMs;
     return reborn || this->LapseOf(aFormer.lapsesAt, aFormer.foreign) <= now;
   });
   for (std::size_t i = 0; i < range.formers.size(); ++i) {
@@ -223,9 +223,9 @@
   order.address = owner->address;
   order.first = range.stored.first;
   order.last = range.stored.last;
-  order.fencingToken = range.stored.fence;
+  order.fencingToken = range.stored.fencingToken;
   this->hooks.sendCommand(order, [this, first = range.stored.first,
-                            fence = range.stored.fence,
+                            fence = range.stored.fencingToken,
                             holder = former.holder](const LeaseCommandReply& aReply) {
     Range* found = this->FindRange(first, fence);
     if (found == nullptr) {
@@ -266,29 +266,29 @@
   order.address = owner->address;
   order.first = range.stored.first;
   order.last = range.stored.last;
-  order.fencingToken = range.stored.fence;
+  order.fencingToken = range.stored.fencingToken;
   order.leaseDuration = this->hold;
   order.handover = range.handover;
   this->hooks.sendCommand(order,
                     [this, first = range.stored.first,
-                     fence = range.stored.fence](const LeaseCommandReply& aReply) {
+                     fence = range.stored.fencingToken](const LeaseCommandReply& aReply) {
                       this->OnGranted(first, fence, aReply);
                     });
 }
 
-Assigner::Range* Assigner::FindRange(Key aFirst, Fence aFence)
+Assigner::Range* Assigner::FindRange(Key aFirst, FencingToken aFence)
 {
   if (this->phase != Phase::kHolding) {
     return nullptr;
   }
   const auto found =
     std::ranges::find_if(this->ranges, [aFirst, aFence](const Range& aRange) {
-      return aRange.stored.first == aFirst && aRange.stored.fence == aFence;
+      return aRange.stored.first == aFirst && aRange.stored.fencingToken == aFence;
     });
   return found == this->ranges.end() ? nullptr : &*found;
 }
 
-void Assigner::OnGranted(Key aFirst, Fence aFence, const LeaseCommandReply& aReply)
+void Assigner::OnGranted(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply)
 {
   Range* range = this->FindRange(aFirst, aFence);
   if (range == nullptr) {
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -100,7 +100,7 @@
   // What is over need not be waited for by a successor.
   for (std::size_t i = 0; i < this->ranges.size(); ++i) {
     if (this->ranges[i].granted) {
-      next.ranges[i].previous.clear();
+      next.ranges[i].previousHolders.clear();
     }
   }
   if (this->PlanLosses(next, this->owners) ||
--- a/src/ownership/internal/assignment.cpp
+++ b/src/ownership/internal/assignment.cpp
@@ -20,7 +20,7 @@
 
 json HolderText(const Holder& aHolder)
 {
-  return json::array({ aHolder.upstream.value, aHolder.born });
+  return json::array({ aHolder.upstream.value, aHolder.startedMs });
 }
 
 Holder ParseHolder(const json& aText)
@@ -47,8 +47,8 @@
   std::vector<AssignedRange> joined;
   for (const AssignedRange& range : aRanges) {
     if (!joined.empty() && joined.back().holder == range.holder &&
-        joined.back().fence == range.fence &&
-        joined.back().previous == range.previous) {
+        joined.back().fencingToken == range.fencingToken &&
+        joined.back().previousHolders == range.previousHolders) {
       joined.back().last = range.last;
     } else {
       joined.push_back(range);
@@ -69,7 +69,7 @@
   std::map<std::pair<state::UpstreamId, std::int64_t>, std::size_t> places;
   const auto placeOf = [&](const Holder& aHolder) {
     const auto [found, isNew] =
-      places.try_emplace({ aHolder.upstream, aHolder.born }, holders.size());
+      places.try_emplace({ aHolder.upstream, aHolder.startedMs }, holders.size());
     if (isNew) {
       holders.push_back(HolderText(aHolder));
     }
@@ -77,12 +77,12 @@
   };
   json ranges = json::array();
   for (const AssignedRange& range : aAssignment.ranges) {
-    json one = { range.last, placeOf(range.holder), range.fence };
-    std::ranges::transform(range.previous, std::back_inserter(one), placeOf);
+    json one = { range.last, placeOf(range.holder), range.fencingToken };
+    std::ranges::transform(range.previousHolders, std::back_inserter(one), placeOf);
     ranges.push_back(std::move(one));
   }
   return json{
-    { "nextFence", aAssignment.nextFence },
+    { "nextFence", aAssignment.nextFencingToken },
     { "holders", std::move(holders) },
     { "ranges", std::move(ranges) }
   }.dump();
@@ -98,7 +98,7 @@
   }
   Assignment assignment;
   try {
-    assignment.nextFence = text.at("nextFence").get<Fence>();
+    assignment.nextFencingToken = text.at("nextFence").get<FencingToken>();
     std::vector<Holder> holders;
     std::ranges::transform(text.at("holders"), std::back_inserter(holders),
                            ParseHolder);
@@ -111,9 +111,9 @@
       range.first = static_cast<Key>(first);
       range.last = one.at(0).get<Key>();
       range.holder = holders.at(one.at(kHolder).get<std::size_t>());
-      range.fence = one.at(kFence).get<Fence>();
+      range.fencingToken = one.at(kFence).get<FencingToken>();
       for (std::size_t i = kPrevious; i < one.size(); ++i) {
-        range.previous.push_back(holders.at(one[i].get<std::size_t>()));
+        range.previousHolders.push_back(holders.at(one[i].get<std::size_t>()));
       }
       first = std::uint32_t{ range.last } + 1;
       assignment.ranges.push_back(std::move(range));
@@ -132,7 +132,7 @@
 void Give(Assignment& aAssignment, Key aFirst, Key aLast, const Holder& aHolder)
 {
   std::vector<AssignedRange> result;
-  const Fence fence = aAssignment.nextFence++;
+  const FencingToken fence = aAssignment.nextFencingToken++;
   for (const AssignedRange& range : aAssignment.ranges) {
     if (range.last < aFirst || range.first > aLast) {
       result.push_back(range);
@@ -146,12 +146,12 @@
     AssignedRange given = range;
     given.first = std::max(range.first, aFirst);
     given.last = std::min(range.last, aLast);
-    if (!range.holder.IsNobody()) {
-      given.previous.push_back(range.holder);
+    if (!range.holder.IsEmpty()) {
+      given.previousHolders.push_back(range.holder);
     }
     given.holder = aHolder;
-    given.fence = fence;
-    std::erase(given.previous, aHolder);
+    given.fencingToken = fence;
+    std::erase(given.previousHolders, aHolder);
     result.push_back(given);
     if (range.last > aLast) {
       AssignedRange after = range;
--- a/src/ownership/internal/balance.cpp
+++ b/src/ownership/internal/balance.cpp
@@ -311,7 +311,7 @@
     range.first = static_cast<Key>(kKeys * i / count);
     range.last = static_cast<Key>(kKeys * (i + 1) / count - 1);
     range.holder = aHolders[i];
-    range.fence = assignment.nextFence++;
+    range.fencingToken = assignment.nextFencingToken++;
     assignment.ranges.push_back(std::move(range));
   }
   return assignment;
--- a/src/ownership/tests/assigner_test.cpp
+++ b/src/ownership/tests/assigner_test.cpp
@@ -382,7 +382,7 @@
         return;
       case 12:
         aWorld.AddUpstream(upstream.holder.upstream.value,
-                           upstream.holder.born + 1);
+                           upstream.holder.startedMs + 1);
         return;
       default:
         return;
--- a/src/ownership/tests/balance_test.cpp
+++ b/src/ownership/tests/balance_test.cpp
@@ -102,11 +102,11 @@
     const AssignedRange& both = assignment.ranges[2];
     CPPUNIT_ASSERT_EQUAL(Key{ 150 }, both.first);
     CPPUNIT_ASSERT_EQUAL(Key{ 199 }, both.last);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 2 }, both.previous.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 2 }, both.previousHolders.size());
     const AssignedRange& one = assignment.ranges[3];
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, one.previous.size());
-    CPPUNIT_ASSERT_EQUAL(both.fence, one.fence);
-    CPPUNIT_ASSERT(assignment.ranges[1].fence < both.fence);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, one.previousHolders.size());
+    CPPUNIT_ASSERT_EQUAL(both.fencingToken, one.fencingToken);
+    CPPUNIT_ASSERT(assignment.ranges[1].fencingToken < both.fencingToken);
   }
 
   void testAssignmentSurvivesItsText()
--- a/src/ownership/tests/keysworld.h
+++ b/src/ownership/tests/keysworld.h
@@ -34,7 +34,7 @@
   {
     Key first = 0;
     Key last = 0;
-    Fence fence = 0;
+    FencingToken fence = 0;
     TimePoint until;
   };
 
@@ -420,9 +420,9 @@
       const TimePoint arrived = this->now;
       if (upstream.late.count() > 0 && order.kind == LeaseCommandKind::kGrant) {
         this->At(
-          upstream.late, [this, order, arrived, born = upstream.holder.born] {
+          upstream.late, [this, order, arrived, born = upstream.holder.startedMs] {
             FakeUpstream& same = this->upstreams.at(order.upstream.value);
-            if (same.alive && same.holder.born == born) {
+            if (same.alive && same.holder.startedMs == born) {
               Apply(same, order, arrived);
             }
           });
--- a/src/state/internal/settings.cpp
+++ b/src/state/internal/settings.cpp
@@ -172,7 +172,7 @@
   settings.peerAddress = ReadAddress(fields, "peer_address");
   settings.metricsAddress = ReadAddress(fields, "metrics_address");
   settings.storeAddress = ReadAddress(fields, "store_address");
-  settings.mostHold = fields.Time("most_hold").value_or(settings.mostHold);
+  settings.maxLease = fields.Time("most_hold").value_or(settings.maxLease);
   settings.grace = fields.Time("grace").value_or(settings.grace);
   settings.resendShare =
     fields.Number("resend_share", 0, kMostShare).value_or(settings.resendShare);
@@ -203,7 +203,7 @@
     { "peer_address", aSettings.peerAddress },
     { "metrics_address", aSettings.metricsAddress },
     { "store_address", aSettings.storeAddress },
-    { "most_hold", FormatDuration(aSettings.mostHold) },
+    { "most_hold", FormatDuration(aSettings.maxLease) },
     { "grace", FormatDuration(aSettings.grace) },
     { "resend_share", aSettings.resendShare },
     { "resend_extra", aSettings.resendExtra },
--- a/src/state/settings.h
+++ b/src/state/settings.h
@@ -51,7 +51,7 @@
   std::string metricsAddress;
   std::string storeAddress;
   // The longest that upstreams hold keys without a renewal.
-  std::chrono::milliseconds mostHold{ 10'000 };
+  std::chrono::milliseconds maxLease{ 10'000 };
   // From the signal to stop until the process is killed.
   std::chrono::milliseconds grace{ 6'000 };
   // What the platform allows to be sent once more, over all hosts: a share of
