--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -11,7 +11,7 @@
 
 namespace kumquat::node {
 
-using ownership::StoredKeys;
+using ownership::AssignmentRows;
 using state::ServiceName;
 
 namespace {
@@ -81,7 +81,7 @@
   own.read = [this, aService](const ownership::Assigner::ReadDone& aDone) {
     this->Read(aService, aDone);
   };
-  own.write = [this, aService](const ownership::KeysWrite& aWrite,
+  own.write = [this, aService](const ownership::AssignmentWrite& aWrite,
                                ownership::Assigner::WriteDone aDone) {
     this->Write(aService, aWrite, std::move(aDone));
   };
@@ -135,14 +135,14 @@
                        aDone(aRead.error());
                        return;
                      }
-                     StoredKeys stored;
+                     AssignmentRows stored;
                      for (const state::StoredRow& row : aRead->rows) {
                        if (row.key == kClaimKey) {
                          stored.claimVersion = row.version;
                          stored.assigner = ParseHost(row.value);
                        } else if (row.key == kAssignmentKey) {
                          stored.assignmentVersion = row.version;
-                         stored.assignment = row.value;
+                         stored.assignmentText = row.value;
                        }
                      }
                      aDone(std::move(stored));
@@ -150,7 +150,7 @@
 }
 
 void Keys::Write(const ServiceName& aService,
-                 const ownership::KeysWrite& aWrite,
+                 const ownership::AssignmentWrite& aWrite,
                  ownership::Assigner::WriteDone aDone)
 {
   state::RowsWrite write;
@@ -163,7 +163,7 @@
       { kKeysTable, {}, kClaimKey, PrintHost(*aWrite.claim), 0, false });
   }
   write.puts.push_back(
-    { kKeysTable, {}, kAssignmentKey, aWrite.assignment, 0, false });
+    { kKeysTable, {}, kAssignmentKey, aWrite.assignmentText, 0, false });
   this->hooks.write(write, std::move(aDone));
 }
 
@@ -225,7 +225,7 @@
 void Keys::ReadHolders(const ServiceName& aService)
 {
   this->parts.at(aService).holdersDue = this->hooks.now() + kHoldersAgain;
-  this->Read(aService, [this, aService](const Result<StoredKeys>& aStored) {
+  this->Read(aService, [this, aService](const Result<AssignmentRows>& aStored) {
     if (!aStored) {
       return;
     }
@@ -234,14 +234,14 @@
     if (aStored->assignmentVersion == 0) {
       return;
     }
-    const auto assignment = ownership::ParseAssignment(aStored->assignment);
+    const auto assignment = ownership::ParseAssignment(aStored->assignmentText);
     if (!assignment) {
       return;
     }
     auto stored =
-      ownership::MapOfHolders(*assignment, aStored->assignmentVersion);
+      ownership::MapFromAssignment(*assignment, aStored->assignmentVersion);
     if (this->parts.at(aService).map.Update(
-          stored.mark, std::move(stored.ranges), this->hooks.now())) {
+          stored.version, std::move(stored.ranges), this->hooks.now())) {
       this->parts.at(aService).isStoredUntold = this->hooks.asksStore();
       this->hooks.log(aService.value, "stored-holders",
                       "no assigner was heard yet");
--- a/src/node/internal/keysduty.h
+++ b/src/node/internal/keysduty.h
@@ -117,7 +117,7 @@
   void Read(const state::ServiceName& aService,
             const ownership::Assigner::ReadDone& aDone);
   void Write(const state::ServiceName& aService,
-             const ownership::KeysWrite& aWrite,
+             const ownership::AssignmentWrite& aWrite,
              ownership::Assigner::WriteDone aDone);
   void Publish(const state::ServiceName& aService);
   void ReadHolders(const state::ServiceName& aService);
--- a/src/node/tests/keysduty_test.cpp
+++ b/src/node/tests/keysduty_test.cpp
@@ -155,9 +155,9 @@
 
   void Store(state::Version aVersion, const std::string& aHolder)
   {
-    const auto assignment = ownership::ShareEvenly({ { { aHolder }, 1 } });
+    const auto assignment = ownership::AssignEvenly({ { { aHolder }, 1 } });
     this->rows = { { "keys", "stoc", "assignment",
-                     ownership::PrintAssignment(assignment), aVersion,
+                     ownership::SerializeAssignment(assignment), aVersion,
                      false } };
   }
 
--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -86,21 +86,21 @@
 };
 
 // The two rows of a service's keys.
-struct StoredKeys
+struct AssignmentRows
 {
   // 0 where there is no such row.
   state::Version claimVersion = 0;
   state::HostRef assigner;
   state::Version assignmentVersion = 0;
-  std::string assignment;
+  std::string assignmentText;
 };
 
-struct KeysWrite
+struct AssignmentWrite
 {
-  StoredKeys expected;
+  AssignmentRows expected;
   // Where set, the writer becomes the assigner.
   std::optional<state::HostRef> claim;
-  std::string assignment;
+  std::string assignmentText;
 };
 
 // An upstream as the assigner needs it.
@@ -131,7 +131,7 @@
 class Assigner
 {
 public:
-  using ReadDone = std::function<void(Result<StoredKeys>)>;
+  using ReadDone = std::function<void(Result<AssignmentRows>)>;
   // The version is that of the write, where it was written.
   using WriteDone = std::function<void(state::WriteOutcome, state::Version)>;
   using CommandDone = std::function<void(LeaseCommandReply)>;
@@ -141,7 +141,7 @@
     // Must count the time that the host was suspended.
     Clock now;
     std::function<void(ReadDone)> read;
-    std::function<void(KeysWrite, WriteDone)> write;
+    std::function<void(AssignmentWrite, WriteDone)> write;
     std::function<void(const LeaseCommand&, CommandDone)> sendCommand;
     std::function<std::vector<OwnerView>()> owners;
     // All other hosts that were ever heard.
@@ -239,14 +239,14 @@
   // How long this host lets others go before it claims.
   Duration OthersTurn() const;
   // Whether more upstreams may be about to show before any keys are dealt.
-  bool IsTooEarlyToDeal(const StoredKeys& aStored);
+  bool IsTooEarlyToDeal(const AssignmentRows& aStored);
   // When this host deals keys for the first time, whatever it knows.
   TimePoint LatestDeal() const;
   // Whether the claim's host may live and has just not been heard as the
   // assigner yet. Said once of each.
   bool IsToBeMet(const state::HostRef& aClaimant);
-  void Claim(const StoredKeys& aStored);
-  void StartHolding(const StoredKeys& aStored);
+  void Claim(const AssignmentRows& aStored);
+  void StartHolding(const AssignmentRows& aStored);
   void StepDown(std::string_view aWhy);
   void Confirm();
   void CheckForeign();
@@ -299,7 +299,7 @@
   // The claimant that was asked for last; see Hooks::meet.
   state::HostRef met;
   // Of this host's own tenure.
-  StoredKeys stored;
+  AssignmentRows stored;
   Assignment assignment;
   std::vector<Range> ranges;
   std::int64_t step = 0;
--- a/src/ownership/assignment.h
+++ b/src/ownership/assignment.h
@@ -47,24 +47,24 @@
 };
 
 // The row's value.
-std::string PrintAssignment(const Assignment& aAssignment);
+std::string SerializeAssignment(const Assignment& aAssignment);
 // kMalformedRequest where the text is none of ours or leaves a key out.
 Result<Assignment> ParseAssignment(std::string_view aText);
 
 // Gives [aFirst, aLast] to aHolder under a fresh fence, cutting what stands
 // there. All who may still hold the keys then stand as `previous`: the holder
 // until now, and those whom it was itself still waiting for.
-void Give(Assignment& aAssignment, Key aFirst, Key aLast,
+void Reassign(Assignment& aAssignment, Key aFirst, Key aLast,
           const Holder& aHolder);
 
 // The holders of a stored assignment, as a map to go by until an assigner is
 // heard: its mark is older than any that the assigner of that version gives.
 struct StoredMap
 {
-  MapMark mark;
+  MapMark version;
   std::vector<MapRange> ranges;
 };
 
-StoredMap MapOfHolders(const Assignment& aAssignment, state::Version aVersion);
+StoredMap MapFromAssignment(const Assignment& aAssignment, state::Version aVersion);
 
 } // namespace kumquat::ownership
--- a/src/ownership/balance.h
+++ b/src/ownership/balance.h
@@ -50,6 +50,6 @@
 std::vector<BalanceMove> PlanMoves(const BalanceQuestion& aQuestion);
 
 // The first assignment: even shares.
-Assignment ShareEvenly(const std::vector<Holder>& aHolders);
+Assignment AssignEvenly(const std::vector<Holder>& aHolders);
 
 } // namespace kumquat::ownership
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -213,7 +213,7 @@
 // Failure: hosts and upstreams start together, and the first claimant knew 31
 // of 137 upstreams, once one of 14. The others were filled by halves of what
 // those had, and the first seconds of traffic were spent on moves.
-bool Assigner::IsTooEarlyToDeal(const StoredKeys& aStored)
+bool Assigner::IsTooEarlyToDeal(const AssignmentRows& aStored)
 {
   const std::size_t before =
     std::exchange(this->ownersSeen, this->owners.size());
@@ -262,7 +262,7 @@
     return;
   }
   this->phase = Phase::kClaiming;
-  this->hooks.read([this](Result<StoredKeys> aStored) {
+  this->hooks.read([this](Result<AssignmentRows> aStored) {
     if (this->phase != Phase::kClaiming) {
       return;
     }
@@ -287,12 +287,12 @@
   });
 }
 
-void Assigner::Claim(const StoredKeys& aStored)
+void Assigner::Claim(const AssignmentRows& aStored)
 {
-  KeysWrite write;
+  AssignmentWrite write;
   write.expected = aStored;
   write.claim = this->options.self;
-  write.assignment = aStored.assignment;
+  write.assignmentText = aStored.assignmentText;
   if (aStored.assignmentVersion == 0) {
     std::vector<Holder> holders;
     for (const OwnerView& owner : this->owners) {
@@ -304,7 +304,7 @@
       this->phase = Phase::kIdle;
       return;
     }
-    write.assignment = PrintAssignment(ShareEvenly(holders));
+    write.assignmentText = SerializeAssignment(AssignEvenly(holders));
   }
   this->hooks.write(
     write, [this, write](WriteOutcome aOutcome, state::Version aVersion) {
@@ -316,21 +316,21 @@
         this->claimNotBefore = this->hooks.now() + kClaimPause;
         return;
       }
-      StoredKeys now = write.expected;
+      AssignmentRows now = write.expected;
       now.claimVersion = aVersion;
       now.assignmentVersion = aVersion;
-      now.assignment = write.assignment;
+      now.assignmentText = write.assignmentText;
       this->StartHolding(now);
     });
 }
 
 // aStored names the assigner before.
-void Assigner::StartHolding(const StoredKeys& aStored)
+void Assigner::StartHolding(const AssignmentRows& aStored)
 {
   const TimePoint now = this->hooks.now();
-  const auto parsed = ParseAssignment(aStored.assignment);
+  const auto parsed = ParseAssignment(aStored.assignmentText);
   if (!parsed) {
-    this->hooks.log("assignment-unreadable", aStored.assignment);
+    this->hooks.log("assignment-unreadable", aStored.assignmentText);
     this->phase = Phase::kIdle;
     this->claimNotBefore = now + kForgotten;
     return;
@@ -383,7 +383,7 @@
   const TimePoint asked = this->hooks.now();
   this->confirmDue = asked + kConfirmEvery;
   const state::Version claim = this->stored.claimVersion;
-  this->hooks.read([this, asked, claim](Result<StoredKeys> aStored) {
+  this->hooks.read([this, asked, claim](Result<AssignmentRows> aStored) {
     this->confirming = false;
     if (this->phase != Phase::kHolding || claim != this->stored.claimVersion ||
         !aStored) {
--- a/src/ownership/internal/assignerorders.cpp
+++ b/src/ownership/internal/assignerorders.cpp
@@ -39,9 +39,9 @@
 void Assigner::Write(const Assignment& aNext)
 {
   this->writing = true;
-  KeysWrite write;
+  AssignmentWrite write;
   write.expected = this->stored;
-  write.assignment = PrintAssignment(aNext);
+  write.assignmentText = SerializeAssignment(aNext);
   const TimePoint asked = this->hooks.now();
   this->hooks.write(write, [this, aNext, asked](WriteOutcome aOutcome,
                                                 state::Version aVersion) {
@@ -62,7 +62,7 @@
 void Assigner::Reload()
 {
   const TimePoint asked = this->hooks.now();
-  this->hooks.read([this, asked](Result<StoredKeys> aStored) {
+  this->hooks.read([this, asked](Result<AssignmentRows> aStored) {
     this->writing = false;
     if (this->phase != Phase::kHolding) {
       return;
@@ -79,7 +79,7 @@
       return;
     }
     this->confirmedAt = std::max(this->confirmedAt, asked);
-    const auto parsed = ParseAssignment(aStored->assignment);
+    const auto parsed = ParseAssignment(aStored->assignmentText);
     if (parsed &&
         aStored->assignmentVersion != this->stored.assignmentVersion) {
       this->Apply(*parsed, aStored->assignmentVersion);
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -175,7 +175,7 @@
                        : std::max(first, *(begin + count * i / pieces));
     auto least = std::ranges::min_element(
       aLoads, {}, [](const auto& aOne) { return aOne.second; });
-    Give(aNext, first, last, least->first.holder);
+    Reassign(aNext, first, last, least->first.holder);
     least->second +=
       (static_cast<double>(count) / pieces + 0.01) / least->first.capacity;
     if (last == aRange.stored.last) {
@@ -203,7 +203,7 @@
     const Range& right = this->ranges[i];
     if (left.stored.holder == right.stored.holder && isSettled(left) &&
         isSettled(right)) {
-      Give(aNext, left.stored.first, right.stored.last, left.stored.holder);
+      Reassign(aNext, left.stored.first, right.stored.last, left.stored.holder);
       ++joins;
       // It is another range now.
       ++i;
@@ -250,7 +250,7 @@
                                    move.to.upstream.value + " of " +
                                    std::to_string(question.requests.size()) +
                                    " requests");
-    Give(aNext, move.first, move.last, move.to);
+    Reassign(aNext, move.first, move.last, move.to);
   }
   return !moves.empty();
 }
--- a/src/ownership/internal/assignment.cpp
+++ b/src/ownership/internal/assignment.cpp
@@ -63,7 +63,7 @@
 // range is an array, begins where the one before ends, and names its holders by
 // their place in a list. That is some 20 bytes a range; with every name spelled
 // out it was 120, and the store refused the row at 500 ranges.
-std::string PrintAssignment(const Assignment& aAssignment)
+std::string SerializeAssignment(const Assignment& aAssignment)
 {
   json holders = json::array();
   std::map<std::pair<state::UpstreamId, std::int64_t>, std::size_t> places;
@@ -129,7 +129,7 @@
   return assignment;
 }
 
-void Give(Assignment& aAssignment, Key aFirst, Key aLast, const Holder& aHolder)
+void Reassign(Assignment& aAssignment, Key aFirst, Key aLast, const Holder& aHolder)
 {
   std::vector<AssignedRange> result;
   const FencingToken fence = aAssignment.nextFencingToken++;
@@ -162,11 +162,11 @@
   aAssignment.ranges = Joined(result);
 }
 
-StoredMap MapOfHolders(const Assignment& aAssignment, state::Version aVersion)
+StoredMap MapFromAssignment(const Assignment& aAssignment, state::Version aVersion)
 {
   constexpr std::int64_t kBeforeAnyStep = -1;
   StoredMap map;
-  map.mark = { aVersion, kBeforeAnyStep, {} };
+  map.version = { aVersion, kBeforeAnyStep, {} };
   std::ranges::transform(
     aAssignment.ranges, std::back_inserter(map.ranges),
     [](const AssignedRange& aRange) {
--- a/src/ownership/internal/balance.cpp
+++ b/src/ownership/internal/balance.cpp
@@ -283,7 +283,7 @@
     ++aTo.keys;
     this->moves.push_back({ aCut.first, aCut.last, aTo.holder->holder });
     Assignment cut{ 1, this->ranges };
-    Give(cut, aCut.first, aCut.last, aTo.holder->holder);
+    Reassign(cut, aCut.first, aCut.last, aTo.holder->holder);
     this->ranges = std::move(cut.ranges);
   }
 
@@ -301,7 +301,7 @@
   return Planner(aQuestion).Plan();
 }
 
-Assignment ShareEvenly(const std::vector<Holder>& aHolders)
+Assignment AssignEvenly(const std::vector<Holder>& aHolders)
 {
   Assignment assignment;
   const auto count = static_cast<std::uint32_t>(aHolders.size());
--- a/src/ownership/tests/balance_test.cpp
+++ b/src/ownership/tests/balance_test.cpp
@@ -39,14 +39,14 @@
   void testHotKeysSpreadOut()
   {
     std::mt19937 random(1);
-    Assignment assignment = ShareEvenly(Holders(14));
+    Assignment assignment = AssignEvenly(Holders(14));
     const std::vector<Key> requests = Requests(random, 0.35);
     const double before = Busiest(assignment, requests);
     std::size_t moved = 0;
     for (int i = 0; i < 12; ++i) {
       for (const BalanceMove& move :
            PlanMoves(Question(assignment, requests))) {
-        Give(assignment, move.first, move.last, move.to);
+        Reassign(assignment, move.first, move.last, move.to);
         moved += static_cast<std::size_t>(move.last - move.first) + 1;
       }
     }
@@ -59,7 +59,7 @@
   void testChanceMovesLittle()
   {
     std::mt19937 random(2);
-    const Assignment assignment = ShareEvenly(Holders(14));
+    const Assignment assignment = AssignEvenly(Holders(14));
     std::size_t moves = 0;
     for (int i = 0; i < 50; ++i) {
       moves += PlanMoves(Question(assignment, Requests(random, 0.0))).size();
@@ -70,7 +70,7 @@
   void testNewcomerGetsKeys()
   {
     std::mt19937 random(3);
-    const Assignment assignment = ShareEvenly(Holders(4));
+    const Assignment assignment = AssignEvenly(Holders(4));
     BalanceQuestion question = Question(assignment, Requests(random, 0.0));
     question.holders.push_back({ { { "new" }, 1 }, 1, true });
     const auto moves = PlanMoves(question);
@@ -82,7 +82,7 @@
   void testColdOneGetsNone()
   {
     std::mt19937 random(4);
-    const Assignment assignment = ShareEvenly(Holders(4));
+    const Assignment assignment = AssignEvenly(Holders(4));
     BalanceQuestion question = Question(assignment, Requests(random, 0.4));
     question.holders.push_back({ { { "cold" }, 1 }, 1, false });
     CPPUNIT_ASSERT(
@@ -95,9 +95,9 @@
   // them, and c has to wait for both.
   void testGiveRemembersWhoMayStillHold()
   {
-    Assignment assignment = ShareEvenly({ { { "a" }, 1 } });
-    Give(assignment, 100, 199, { { "b" }, 1 });
-    Give(assignment, 150, 300, { { "c" }, 1 });
+    Assignment assignment = AssignEvenly({ { { "a" }, 1 } });
+    Reassign(assignment, 100, 199, { { "b" }, 1 });
+    Reassign(assignment, 150, 300, { { "c" }, 1 });
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 5 }, assignment.ranges.size());
     const AssignedRange& both = assignment.ranges[2];
     CPPUNIT_ASSERT_EQUAL(Key{ 150 }, both.first);
@@ -111,11 +111,11 @@
 
   void testAssignmentSurvivesItsText()
   {
-    Assignment assignment = ShareEvenly(Holders(3));
-    Give(assignment, 7, 9, { { "u2" }, 1 });
-    const auto again = ParseAssignment(PrintAssignment(assignment));
+    Assignment assignment = AssignEvenly(Holders(3));
+    Reassign(assignment, 7, 9, { { "u2" }, 1 });
+    const auto again = ParseAssignment(SerializeAssignment(assignment));
     CPPUNIT_ASSERT(again.has_value());
-    CPPUNIT_ASSERT_EQUAL(PrintAssignment(assignment), PrintAssignment(*again));
+    CPPUNIT_ASSERT_EQUAL(SerializeAssignment(assignment), SerializeAssignment(*again));
     for (const char* text :
          { "", "{}", "[1]", R"({"nextFence":1,"ranges":[]})",
            R"({"nextFence":1,"ranges":[{"first":1,"last":65535,
@@ -158,11 +158,11 @@
       requests.push_back(static_cast<Key>(50'000 + random() % 400));
     }
     std::ranges::sort(requests);
-    Assignment assignment = ShareEvenly(Holders(14));
+    Assignment assignment = AssignEvenly(Holders(14));
     for (int plan = 0; plan < 8; ++plan) {
       for (const BalanceMove& move :
            PlanMoves(Question(assignment, requests))) {
-        Give(assignment, move.first, move.last, move.to);
+        Reassign(assignment, move.first, move.last, move.to);
       }
     }
     std::map<std::string, int> loads;
@@ -191,18 +191,18 @@
   {
     std::mt19937 random(4);
     const std::vector<Holder> holders = Holders(137);
-    Assignment assignment = ShareEvenly(holders);
+    Assignment assignment = AssignEvenly(holders);
     while (assignment.ranges.size() < 1000) {
       const auto first = static_cast<Key>(random() % kLastKey);
       const auto last =
         static_cast<Key>(std::min<unsigned>(kLastKey, first + random() % 64));
-      Give(assignment, first, last, holders[random() % holders.size()]);
+      Reassign(assignment, first, last, holders[random() % holders.size()]);
     }
-    const std::string text = PrintAssignment(assignment);
+    const std::string text = SerializeAssignment(assignment);
     CPPUNIT_ASSERT(text.size() < 49'152);
     const auto again = ParseAssignment(text);
     CPPUNIT_ASSERT(again);
-    CPPUNIT_ASSERT_EQUAL(text, PrintAssignment(*again));
+    CPPUNIT_ASSERT_EQUAL(text, SerializeAssignment(*again));
   }
 
   // A host is told changes only. Whatever moved, it ends with the map that one
@@ -253,7 +253,7 @@
   {
     constexpr double kSudden = 3;
     std::mt19937 random(6);
-    Assignment assignment = ShareEvenly(Holders(137));
+    Assignment assignment = AssignEvenly(Holders(137));
     for (int plan = 0; plan < 3; ++plan) {
       BalanceQuestion question =
         Question(assignment, Requests(random, 0.35, 750));
@@ -261,7 +261,7 @@
       const auto moves = PlanMoves(question);
       CPPUNIT_ASSERT(!moves.empty());
       for (const BalanceMove& move : moves) {
-        Give(assignment, move.first, move.last, move.to);
+        Reassign(assignment, move.first, move.last, move.to);
       }
     }
     CPPUNIT_ASSERT(Busiest(assignment, Requests(random, 0.35, 7500)) < 7);
--- a/src/ownership/tests/keysworld.h
+++ b/src/ownership/tests/keysworld.h
@@ -310,7 +310,7 @@
     hooks.read = [this, weak](Assigner::ReadDone aDone) {
       this->Read(weak.lock(), std::move(aDone));
     };
-    hooks.write = [this, weak](const KeysWrite& aWrite,
+    hooks.write = [this, weak](const AssignmentWrite& aWrite,
                                Assigner::WriteDone aDone) {
       this->Write(weak.lock(), aWrite, std::move(aDone));
     };
@@ -360,7 +360,7 @@
     });
   }
 
-  void Write(const HostPtr& aHost, const KeysWrite& aWrite,
+  void Write(const HostPtr& aHost, const AssignmentWrite& aWrite,
              Assigner::WriteDone aDone)
   {
     this->At(kWay, [this, aHost, write = aWrite, done = std::move(aDone)] {
@@ -387,7 +387,7 @@
   }
 
   // 0 where a condition does not hold.
-  state::Version Perform(const KeysWrite& aWrite)
+  state::Version Perform(const AssignmentWrite& aWrite)
   {
     if (aWrite.expected.claimVersion != this->stored.claimVersion ||
         aWrite.expected.assignmentVersion != this->stored.assignmentVersion) {
@@ -398,7 +398,7 @@
       this->stored.assigner = *aWrite.claim;
       this->stored.claimVersion = version;
     }
-    this->stored.assignment = aWrite.assignment;
+    this->stored.assignmentText = aWrite.assignmentText;
     this->stored.assignmentVersion = version;
     return version;
   }
@@ -529,7 +529,7 @@
   std::mt19937 random;
   std::map<std::string, HostPtr> hosts;
   std::map<std::string, FakeUpstream> upstreams;
-  StoredKeys stored;
+  AssignmentRows stored;
   state::Version lastVersion = 0;
   state::Incarnation lastIncarnation = 0;
   std::vector<std::string> log;
