--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -170,13 +170,13 @@
 void Keys::Publish(const ServiceName& aService)
 {
   Part& part = this->parts.at(aService);
-  const ownership::MapMark mark = part.assigner->Mark();
+  const ownership::MapVersion mark = part.assigner->CurrentMapVersion();
   // The map was another host's meanwhile: what peers know is its, not what was
   // told here last.
-  if (part.map.Mark() != part.ownMark) {
+  if (part.map.CurrentVersion() != part.ownMark) {
     part.toldMark = {};
   }
-  if (part.map.Update(mark, part.assigner->Map(), this->hooks.now())) {
+  if (part.map.ReplaceIfNewer(mark, part.assigner->CurrentMap(), this->hooks.now())) {
     part.ownMark = mark;
     this->hooks.publish();
     this->hooks.changed();
@@ -189,13 +189,13 @@
   std::vector<protocol::KeyMapUpdate> updates;
   for (auto& [service, part] : this->parts) {
     if (std::exchange(part.isStoredUntold, false)) {
-      updates.push_back(ToWire(service, part.map.Mark(), part.map.Ranges()));
+      updates.push_back(ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
     }
     // Nothing new, or the map is another host's by now.
-    if (part.ownMark == part.toldMark || part.map.Mark() != part.ownMark) {
+    if (part.ownMark == part.toldMark || part.map.CurrentVersion() != part.ownMark) {
       continue;
     }
-    const bool isWhole = part.toldMark.version == 0;
+    const bool isWhole = part.toldMark.assignmentVersion == 0;
     if (isWhole) {
       part.history.clear();
     }
@@ -240,7 +240,7 @@
     }
     auto stored =
       ownership::MapFromAssignment(*assignment, aStored->assignmentVersion);
-    if (this->parts.at(aService).map.Update(
+    if (this->parts.at(aService).map.ReplaceIfNewer(
           stored.version, std::move(stored.ranges), this->hooks.now())) {
       this->parts.at(aService).isStoredUntold = this->hooks.asksStore();
       this->hooks.log(aService.value, "stored-holders",
@@ -256,7 +256,7 @@
   for (auto& [service, part] : this->parts) {
     const bool isDue = now >= part.holdersDue &&
                        (now >= part.othersTellUntil || this->hooks.asksStore());
-    if (part.map.Mark().version == 0 && isDue) {
+    if (part.map.CurrentVersion().assignmentVersion == 0 && isDue) {
       this->ReadHolders(service);
     }
     part.assigner->OnTimer();
@@ -297,12 +297,12 @@
   if (!part.assigner) {
     part.assigner = this->MakeAssigner({ aUpdate.mark.serviceName });
   }
-  const ownership::MapMark mark = FromWire(aUpdate.mark);
+  const ownership::MapVersion mark = FromWire(aUpdate.mark);
   const TimePoint now = this->hooks.now();
   const bool isNew = aUpdate.__isset.base
-                       ? part.map.UpdateFrom(FromWire(aUpdate.base), mark,
+                       ? part.map.ApplyChanges(FromWire(aUpdate.base), mark,
                                              RangesOf(aUpdate), now)
-                       : part.map.Update(mark, RangesOf(aUpdate), now);
+                       : part.map.ReplaceIfNewer(mark, RangesOf(aUpdate), now);
   if (isNew) {
     this->hooks.changed();
   }
@@ -335,9 +335,9 @@
 {
   std::vector<protocol::KeyMapMark> marks;
   for (const auto& [service, part] : this->parts) {
-    if (part.map.Mark().version > 0) {
-      protocol::KeyMapMark mark = ToWire(service, part.map.Mark());
-      mark.__set_heard(this->peers.HeardOf(part.map.Mark().assigner));
+    if (part.map.CurrentVersion().assignmentVersion > 0) {
+      protocol::KeyMapMark mark = ToWire(service, part.map.CurrentVersion());
+      mark.__set_heard(this->peers.HeardOf(part.map.CurrentVersion().assigner));
       marks.push_back(std::move(mark));
     }
   }
@@ -348,7 +348,7 @@
 {
   std::vector<protocol::KeyUse> uses;
   for (auto& [service, part] : this->parts) {
-    if (part.used.empty() || part.map.Mark().assigner.host != aPeer) {
+    if (part.used.empty() || part.map.CurrentVersion().assigner.host != aPeer) {
       continue;
     }
     protocol::KeyUse use;
@@ -370,8 +370,8 @@
 bool Keys::HasNoMap(const Part& aPart, const ServiceName& aService,
                     const KnownPeer& aPeer) const
 {
-  const ownership::MapMark& mark = aPart.map.Mark();
-  return mark.version > 0 && mark.assigner.host.value.empty() &&
+  const ownership::MapVersion& mark = aPart.map.CurrentVersion();
+  return mark.assignmentVersion > 0 && mark.assigner.host.value.empty() &&
          this->hooks.asksStore() && !aPeer.maps.contains(aService) &&
          !this->WasToldWhole(aPart, aPeer);
 }
@@ -380,7 +380,7 @@
                      const KnownPeer& aPeer) const
 {
   const TimePoint now = this->hooks.now();
-  if (aPart.history.empty() || aPart.map.Mark() != aPart.ownMark ||
+  if (aPart.history.empty() || aPart.map.CurrentVersion() != aPart.ownMark ||
       this->WasToldWhole(aPart, aPeer)) {
     return false;
   }
@@ -399,7 +399,7 @@
     if (this->HasMissed(part, service, aPeer)) {
       updates.push_back(ToWire(service, part.toldMark, part.told));
     } else if (this->HasNoMap(part, service, aPeer)) {
-      updates.push_back(ToWire(service, part.map.Mark(), part.map.Ranges()));
+      updates.push_back(ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
     } else {
       continue;
     }
@@ -412,8 +412,8 @@
 {
   std::set<state::HostId> assigners;
   for (const auto& [service, part] : this->parts) {
-    if (!part.map.Mark().assigner.host.value.empty()) {
-      assigners.insert(part.map.Mark().assigner.host);
+    if (!part.map.CurrentVersion().assigner.host.value.empty()) {
+      assigners.insert(part.map.CurrentVersion().assigner.host);
     }
   }
   return assigners;
--- a/src/node/internal/keysduty.h
+++ b/src/node/internal/keysduty.h
@@ -92,12 +92,12 @@
     // told yet.
     bool isStoredUntold = false;
     // Of this host's own map.
-    ownership::MapMark ownMark;
+    ownership::MapVersion ownMark;
     // What peers were told last; nothing where they need the whole.
-    ownership::MapMark toldMark;
+    ownership::MapVersion toldMark;
     std::vector<ownership::MapRange> told;
     // When each mark was told, the last few.
-    std::deque<std::pair<TimePoint, ownership::MapMark>> history;
+    std::deque<std::pair<TimePoint, ownership::MapVersion>> history;
     // When a peer got the whole map.
     std::map<state::HostId, TimePoint> wholeAt;
   };
--- a/src/node/internal/peerduty.cpp
+++ b/src/node/internal/peerduty.cpp
@@ -74,10 +74,10 @@
 
 std::set<state::HostId> Peers::Assigners() const
 {
-  std::map<state::ServiceName, ownership::MapMark> newest;
+  std::map<state::ServiceName, ownership::MapVersion> newest;
   for (const auto& [id, peer] : this->peers) {
     for (const auto& [service, mark] : peer.maps) {
-      ownership::MapMark& known = newest[service];
+      ownership::MapVersion& known = newest[service];
       if (mark.IsNewerThan(known)) {
         known = mark;
       }
@@ -101,19 +101,19 @@
   return live;
 }
 
-std::vector<ownership::PeerView> Peers::ViewsOf(
+std::vector<ownership::PeerStatus> Peers::ViewsOf(
   const state::ServiceName& aService) const
 {
-  std::vector<ownership::PeerView> views;
+  std::vector<ownership::PeerStatus> views;
   for (const auto& [id, peer] : this->peers) {
-    ownership::PeerView view{ peer.host, peer.heardAt, peer.leaving, {}, {} };
+    ownership::PeerStatus view{ peer.host, peer.heardAt, peer.leaving, {}, {} };
     const auto said = peer.saidAt.find(aService);
     if (said != peer.saidAt.end()) {
-      view.saidAt = said->second;
+      view.mapConfirmedAt = said->second;
     }
     const auto map = peer.maps.find(aService);
     if (map != peer.maps.end()) {
-      view.map = map->second;
+      view.mapVersion = map->second;
     }
     views.push_back(std::move(view));
   }
@@ -131,7 +131,7 @@
   return fresh;
 }
 
-ownership::MapMark FromWire(const protocol::KeyMapMark& aMark)
+ownership::MapVersion FromWire(const protocol::KeyMapMark& aMark)
 {
   return { aMark.version,
            aMark.step,
@@ -139,19 +139,19 @@
 }
 
 protocol::KeyMapMark ToWire(const state::ServiceName& aService,
-                            const ownership::MapMark& aMark)
+                            const ownership::MapVersion& aMark)
 {
   protocol::KeyMapMark mark;
   mark.__set_serviceName(aService.value);
-  mark.__set_version(aMark.version);
-  mark.__set_step(aMark.step);
+  mark.__set_version(aMark.assignmentVersion);
+  mark.__set_step(aMark.revision);
   mark.assigner.__set_host(aMark.assigner.host.value);
   mark.assigner.__set_incarnation(aMark.assigner.incarnation);
   return mark;
 }
 
 protocol::KeyMapUpdate ToWire(const state::ServiceName& aService,
-                              const ownership::MapMark& aMark,
+                              const ownership::MapVersion& aMark,
                               const std::vector<ownership::MapRange>& aRanges)
 {
   protocol::KeyMapUpdate update;
--- a/src/node/internal/peerduty.h
+++ b/src/node/internal/peerduty.h
@@ -30,7 +30,7 @@
   state::Version hostsVersion = 0;
   // Of its run; the last that was heard.
   std::int64_t digest = 0;
-  std::map<state::ServiceName, ownership::MapMark> maps;
+  std::map<state::ServiceName, ownership::MapVersion> maps;
   // Where a map is this host's own: a time at which the peer surely went by it.
   std::map<state::ServiceName, TimePoint> saidAt;
 };
@@ -57,7 +57,7 @@
   std::vector<state::HostId> Live() const;
   // Hosts that assign keys by the newest map that any peer goes by.
   std::set<state::HostId> Assigners() const;
-  std::vector<ownership::PeerView> ViewsOf(
+  std::vector<ownership::PeerStatus> ViewsOf(
     const state::ServiceName& aService) const;
   // Peers that fell silent since the last call.
   std::vector<state::HostId> TakeSilent();
@@ -73,11 +73,11 @@
   std::set<state::HostId> silent;
 };
 
-ownership::MapMark FromWire(const protocol::KeyMapMark& aMark);
+ownership::MapVersion FromWire(const protocol::KeyMapMark& aMark);
 protocol::KeyMapMark ToWire(const state::ServiceName& aService,
-                            const ownership::MapMark& aMark);
+                            const ownership::MapVersion& aMark);
 protocol::KeyMapUpdate ToWire(const state::ServiceName& aService,
-                              const ownership::MapMark& aMark,
+                              const ownership::MapVersion& aMark,
                               const std::vector<ownership::MapRange>& aRanges);
 std::vector<ownership::MapRange> RangesOf(
   const protocol::KeyMapUpdate& aUpdate);
--- a/src/node/tests/tables_test.cpp
+++ b/src/node/tests/tables_test.cpp
@@ -175,9 +175,9 @@
     peers.OnDigest(digest);
     const auto views = peers.ViewsOf({ "stoc" });
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, views.size());
-    CPPUNIT_ASSERT(views[0].heardAt == this->now);
-    CPPUNIT_ASSERT(views[0].saidAt == sent);
-    CPPUNIT_ASSERT(views[0].map.assigner == self);
+    CPPUNIT_ASSERT(views[0].lastHeardAt == this->now);
+    CPPUNIT_ASSERT(views[0].mapConfirmedAt == sent);
+    CPPUNIT_ASSERT(views[0].mapVersion.assigner == self);
   }
 
   void testDigestOfAnEndedRunIsIgnored()
--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -116,16 +116,16 @@
 };
 
 // What a host last heard of a peer.
-struct PeerView
+struct PeerStatus
 {
   state::HostRef host;
-  TimePoint heardAt;
+  TimePoint lastHeardAt;
   bool leaving = false;
   // The map that it goes by.
-  MapMark map;
+  MapVersion mapVersion;
   // Where that is this host's own: a time at which it surely went by it, on
   // this host's clock; see DigestTimes.
-  TimePoint saidAt;
+  TimePoint mapConfirmedAt;
 };
 
 class Assigner
@@ -145,7 +145,7 @@
     std::function<void(const LeaseCommand&, CommandDone)> sendCommand;
     std::function<std::vector<OwnerView>()> owners;
     // All other hosts that were ever heard.
-    std::function<std::vector<PeerView>()> peers;
+    std::function<std::vector<PeerStatus>()> peers;
     // The host that should assign first, of any two: the higher one; empty
     // where all are alike.
     std::function<double(const state::HostId&)> preference;
@@ -187,8 +187,8 @@
   void Leave();
 
   bool IsAssigner() const { return this->phase == Phase::kHolding; }
-  MapMark Mark() const;
-  std::vector<MapRange> Map() const;
+  MapVersion CurrentMapVersion() const;
+  std::vector<MapRange> CurrentMap() const;
 
   std::chrono::milliseconds LeaseDuration() const { return this->hold; }
 
--- a/src/ownership/assignment.h
+++ b/src/ownership/assignment.h
@@ -61,7 +61,7 @@
 // heard: its mark is older than any that the assigner of that version gives.
 struct StoredMap
 {
-  MapMark version;
+  MapVersion version;
   std::vector<MapRange> ranges;
 };
 
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -94,12 +94,12 @@
   }
 }
 
-MapMark Assigner::Mark() const
+MapVersion Assigner::CurrentMapVersion() const
 {
   return { this->stored.assignmentVersion, this->step, this->options.self };
 }
 
-std::vector<MapRange> Assigner::Map() const
+std::vector<MapRange> Assigner::CurrentMap() const
 {
   std::vector<MapRange> map;
   for (const Range& range : this->ranges) {
@@ -173,9 +173,9 @@
 bool Assigner::IsAssignerHeardWithin(Duration aSilence) const
 {
   const TimePoint now = this->hooks.now();
-  return std::ranges::any_of(this->hooks.peers(), [&](const PeerView& aPeer) {
-    return aPeer.map.assigner == aPeer.host && !aPeer.leaving &&
-           aPeer.map.version > 0 && now - aPeer.heardAt < aSilence;
+  return std::ranges::any_of(this->hooks.peers(), [&](const PeerStatus& aPeer) {
+    return aPeer.mapVersion.assigner == aPeer.host && !aPeer.leaving &&
+           aPeer.mapVersion.assignmentVersion > 0 && now - aPeer.lastHeardAt < aSilence;
   });
 }
 
@@ -204,8 +204,8 @@
   };
   const auto own = standing(this->options.self.host);
   return static_cast<int>(
-    std::ranges::count_if(this->hooks.peers(), [&](const PeerView& aPeer) {
-      return !aPeer.leaving && now - aPeer.heardAt < kSilence &&
+    std::ranges::count_if(this->hooks.peers(), [&](const PeerStatus& aPeer) {
+      return !aPeer.leaving && now - aPeer.lastHeardAt < kSilence &&
              standing(aPeer.host.host) > own;
     }));
 }
@@ -234,10 +234,10 @@
   const bool isKnown =
     aClaimant.host.value.empty() || aClaimant.host == this->options.self.host ||
     aClaimant == this->met ||
-    std::ranges::any_of(this->hooks.peers(), [&](const PeerView& aPeer) {
+    std::ranges::any_of(this->hooks.peers(), [&](const PeerStatus& aPeer) {
       return aPeer.host.host == aClaimant.host &&
              (aPeer.host.incarnation > aClaimant.incarnation ||
-              aPeer.map.assigner == aClaimant);
+              aPeer.mapVersion.assigner == aClaimant);
     });
   if (isKnown) {
     return false;
@@ -402,13 +402,13 @@
   const TimePoint now = this->hooks.now();
   std::size_t followers = 1;
   std::size_t known = 1;
-  for (const PeerView& peer : this->hooks.peers()) {
-    known += now - peer.heardAt < kForgotten ? 1 : 0;
+  for (const PeerStatus& peer : this->hooks.peers()) {
+    known += now - peer.lastHeardAt < kForgotten ? 1 : 0;
     // Failure: a host that stood still finds old digests in its connections.
     // Counted from their arrival they would let it renew holds that its
     // successor has waited out; see DigestTimes.
-    const bool follows = peer.map.assigner == this->options.self;
-    followers += follows && now - peer.saidAt < kSaid ? 1 : 0;
+    const bool follows = peer.mapVersion.assigner == this->options.self;
+    followers += follows && now - peer.mapConfirmedAt < kSaid ? 1 : 0;
   }
   return { followers, known };
 }
@@ -428,10 +428,10 @@
 // was said before it took this one.
 void Assigner::CheckForeign()
 {
-  for (const PeerView& peer : this->hooks.peers()) {
+  for (const PeerStatus& peer : this->hooks.peers()) {
     // A map of a later version comes from an assigner that has claimed since.
-    if (peer.map.version > this->stored.assignmentVersion &&
-        peer.map.assigner != this->options.self && !this->writing) {
+    if (peer.mapVersion.assignmentVersion > this->stored.assignmentVersion &&
+        peer.mapVersion.assigner != this->options.self && !this->writing) {
       this->StepDown("a peer knows a later map");
       return;
     }
--- a/src/ownership/internal/keymap.cpp
+++ b/src/ownership/internal/keymap.cpp
@@ -47,7 +47,7 @@
   return changed;
 }
 
-bool KeyMap::UpdateFrom(const MapMark& aBase, const MapMark& aMark,
+bool KeyMap::ApplyChanges(const MapVersion& aBase, const MapVersion& aMark,
                         const std::vector<MapRange>& aChanges, TimePoint aNow)
 {
   if (aBase != this->mark) {
@@ -82,10 +82,10 @@
     add(next, old.last, old.upstream);
     next = std::max<int>(next, old.last + 1);
   }
-  return this->Update(aMark, std::move(merged), aNow);
+  return this->ReplaceIfNewer(aMark, std::move(merged), aNow);
 }
 
-bool KeyMap::Update(const MapMark& aMark, std::vector<MapRange> aRanges,
+bool KeyMap::ReplaceIfNewer(const MapVersion& aMark, std::vector<MapRange> aRanges,
                     TimePoint aNow)
 {
   if (!aMark.IsNewerThan(this->mark)) {
--- a/src/ownership/keymap.h
+++ b/src/ownership/keymap.h
@@ -18,24 +18,24 @@
 constexpr Key kLastKey = 65535;
 
 // Tells the newer of two maps of one service.
-struct MapMark
+struct MapVersion
 {
   // The stored assignment's; rises with each write.
-  state::Version version = 0;
+  state::Version assignmentVersion = 0;
   // Grants and lapses that the assigner has seen since.
-  std::int64_t step = 0;
+  std::int64_t revision = 0;
   state::HostRef assigner;
 
   // An assigner that takes over starts its steps anew, at the same version; the
   // one in force is then told by its incarnation's later claim, which raised
   // the version.
-  bool IsNewerThan(const MapMark& aOther) const
+  bool IsNewerThan(const MapVersion& aOther) const
   {
-    return this->version != aOther.version ? this->version > aOther.version
-                                           : this->step > aOther.step;
+    return this->assignmentVersion != aOther.assignmentVersion ? this->assignmentVersion > aOther.assignmentVersion
+                                           : this->revision > aOther.revision;
   }
 
-  friend bool operator==(const MapMark&, const MapMark&) = default;
+  friend bool operator==(const MapVersion&, const MapVersion&) = default;
 };
 
 struct MapRange
@@ -56,15 +56,15 @@
 {
 public:
   // False where it is not newer than what is known.
-  bool Update(const MapMark& aMark, std::vector<MapRange> aRanges,
+  bool ReplaceIfNewer(const MapVersion& aMark, std::vector<MapRange> aRanges,
               TimePoint aNow);
 
   // aChanges are the ranges in which the new map differs from that of aBase.
   // False where that is not the one known here.
-  bool UpdateFrom(const MapMark& aBase, const MapMark& aMark,
+  bool ApplyChanges(const MapVersion& aBase, const MapVersion& aMark,
                   const std::vector<MapRange>& aChanges, TimePoint aNow);
 
-  const MapMark& Mark() const { return this->mark; }
+  const MapVersion& CurrentVersion() const { return this->mark; }
   // By rising keys.
   const std::vector<MapRange>& Ranges() const { return this->ranges; }
 
@@ -84,7 +84,7 @@
 private:
   const MapRange* Find(Key aKey) const;
 
-  MapMark mark;
+  MapVersion mark;
   std::vector<MapRange> ranges;
   // Keys that their mapped owner refused, and until when they are not tried.
   std::map<Key, TimePoint> refused;
--- a/src/ownership/tests/balance_test.cpp
+++ b/src/ownership/tests/balance_test.cpp
@@ -129,11 +129,11 @@
   {
     KeyMap map;
     const TimePoint now{ std::chrono::hours(1) };
-    CPPUNIT_ASSERT(map.Update({ 5, 2, {} }, { { 0, kLastKey, { "a" } } }, now));
+    CPPUNIT_ASSERT(map.ReplaceIfNewer({ 5, 2, {} }, { { 0, kLastKey, { "a" } } }, now));
     CPPUNIT_ASSERT(
-      !map.Update({ 5, 1, {} }, { { 0, kLastKey, { "b" } } }, now));
+      !map.ReplaceIfNewer({ 5, 1, {} }, { { 0, kLastKey, { "b" } } }, now));
     CPPUNIT_ASSERT(
-      !map.Update({ 4, 9, {} }, { { 0, kLastKey, { "b" } } }, now));
+      !map.ReplaceIfNewer({ 4, 9, {} }, { { 0, kLastKey, { "b" } } }, now));
     CPPUNIT_ASSERT_EQUAL(std::string("a"), map.OwnerOf(3, now).upstream.value);
     map.OnNotOwner(3, now);
     CPPUNIT_ASSERT(map.OwnerOf(3, now).upstream.value.empty());
@@ -227,15 +227,15 @@
     const state::HostRef host{ { "h" }, 1 };
     KeyMap told;
     std::vector<MapRange> before = randomMap();
-    told.Update({ 1, 0, host }, before, TimePoint{});
+    told.ReplaceIfNewer({ 1, 0, host }, before, TimePoint{});
     for (int step = 1; step <= 200; ++step) {
       const std::vector<MapRange> after = randomMap();
-      const MapMark mark{ 1, step, host };
-      CPPUNIT_ASSERT(!told.UpdateFrom({ 1, step, host }, mark, {}, {}));
-      CPPUNIT_ASSERT(told.UpdateFrom({ 1, step - 1, host }, mark,
+      const MapVersion mark{ 1, step, host };
+      CPPUNIT_ASSERT(!told.ApplyChanges({ 1, step, host }, mark, {}, {}));
+      CPPUNIT_ASSERT(told.ApplyChanges({ 1, step - 1, host }, mark,
                                      ChangedRanges(before, after), {}));
       KeyMap whole;
-      whole.Update(mark, after, TimePoint{});
+      whole.ReplaceIfNewer(mark, after, TimePoint{});
       for (int key = 0; key <= kLastKey; key += 13) {
         const auto at = static_cast<Key>(key);
         CPPUNIT_ASSERT(told.OwnerOf(at, {}).upstream ==
--- a/src/ownership/tests/keysworld.h
+++ b/src/ownership/tests/keysworld.h
@@ -224,8 +224,8 @@
     bool frozen = false;
     std::vector<std::function<void()>> held;
     std::unique_ptr<Assigner> assigner;
-    std::map<std::string, PeerView> peers;
-    MapMark map;
+    std::map<std::string, PeerStatus> peers;
+    MapVersion map;
     DigestTimes times;
     TimePoint digestDue;
     // Last digest of each peer.
@@ -271,7 +271,7 @@
 
   void SendDigest(const HostPtr& aHost)
   {
-    const PeerView digest{ aHost->Ref(), {}, false, aHost->map, {} };
+    const PeerStatus digest{ aHost->Ref(), {}, false, aHost->map, {} };
     const std::int64_t number = aHost->times.Next(this->now);
     const std::int64_t heard = aHost->heard[aHost->map.assigner.host.value];
     for (const auto& [name, peer] : this->hosts) {
@@ -281,12 +281,12 @@
       }
       this->OnHost(peer, kWay,
                    [this, peer = peer, view = digest, number, heard]() mutable {
-                     view.heardAt = this->now;
-                     view.saidAt = peer->times.SentAt(heard);
+                     view.lastHeardAt = this->now;
+                     view.mapConfirmedAt = peer->times.SentAt(heard);
                      peer->heard[view.host.host.value] = number;
                      peer->peers[view.host.host.value] = view;
-                     if (view.map.IsNewerThan(peer->map)) {
-                       peer->map = view.map;
+                     if (view.mapVersion.IsNewerThan(peer->map)) {
+                       peer->map = view.mapVersion;
                      }
                    });
     }
@@ -327,7 +327,7 @@
       return owners;
     };
     hooks.peers = [weak] {
-      std::vector<PeerView> views;
+      std::vector<PeerStatus> views;
       for (const auto& [name, view] : weak.lock()->peers) {
         views.push_back(view);
       }
@@ -335,8 +335,8 @@
     };
     hooks.publish = [weak] {
       const HostPtr host = weak.lock();
-      if (host->assigner->Mark().IsNewerThan(host->map)) {
-        host->map = host->assigner->Mark();
+      if (host->assigner->CurrentMapVersion().IsNewerThan(host->map)) {
+        host->map = host->assigner->CurrentMapVersion();
       }
     };
     hooks.log = [this, weak](std::string_view aWhat, std::string_view aDetail) {
