--- a/src/ownership/balance.h
+++ b/src/ownership/balance.h
@@ -21,7 +21,7 @@
   // Requests that it can run in a given time, against the others.
   double capacity = 1;
   // It may be given more keys now; false for a cold or an unsure one.
-  bool maySettle = true;
+  bool mayReceiveKeys = true;
 };
 
 struct BalanceMove
@@ -34,20 +34,20 @@
 // An upstream is relieved where it gets more than this many times its share.
 // With some 20 requests an upstream, and what chance brings, that is 1.4 times
 // the share, at which services at half of their capacity begin to queue.
-inline constexpr double kUsualOverload = 1.15;
+inline constexpr double kDefaultOverloadFactor = 1.15;
 
-struct BalanceQuestion
+struct BalanceInput
 {
   // Only ranges that are settled and may be cut.
   std::vector<AssignedRange> ranges;
   std::vector<BalanceHolder> holders;
   // Keys of the requests of the last while, sorted, each as often as it came.
   std::vector<Key> requests;
-  double overload = kUsualOverload;
+  double overloadFactor = kDefaultOverloadFactor;
 };
 
 // At most a few moves; empty where none is worth its keys.
-std::vector<BalanceMove> PlanMoves(const BalanceQuestion& aQuestion);
+std::vector<BalanceMove> PlanMoves(const BalanceInput& aQuestion);
 
 // The first assignment: even shares.
 Assignment AssignEvenly(const std::vector<Holder>& aHolders);
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -220,7 +220,7 @@
     return false;
   }
   this->balanceDue = now + kPlanEvery;
-  BalanceQuestion question;
+  BalanceInput question;
   for (const Range& range : this->ranges) {
     // One change at a time for any key.
     if (range.granted && range.formers.empty() && !range.stopped &&
@@ -234,14 +234,14 @@
     }
   }
   question.requests = this->SortedRequests(kSuddenWindow);
-  question.overload = kSuddenOverload;
+  question.overloadFactor = kSuddenOverload;
   std::vector<BalanceMove> moves;
   if (question.requests.size() >= kLeastSudden) {
     moves = PlanMoves(question);
   }
   if (moves.empty()) {
     question.requests = this->SortedRequests(kRequestWindow);
-    question.overload = kUsualOverload;
+    question.overloadFactor = kDefaultOverloadFactor;
     moves = PlanMoves(question);
   }
   for (const BalanceMove& move : moves) {
--- a/src/ownership/internal/balance.cpp
+++ b/src/ownership/internal/balance.cpp
@@ -89,7 +89,7 @@
 class Planner
 {
 public:
-  explicit Planner(const BalanceQuestion& aQuestion)
+  explicit Planner(const BalanceInput& aQuestion)
     : question(aQuestion)
     , ranges(aQuestion.ranges)
   {
@@ -141,7 +141,7 @@
   bool IsOverloaded(const Load& aLoad) const
   {
     const double share = this->ShareOf(aLoad);
-    return aLoad.requests > this->question.overload * share +
+    return aLoad.requests > this->question.overloadFactor * share +
                               kChanceDeviations * std::sqrt(share + 1);
   }
 
@@ -156,14 +156,14 @@
     std::ranges::sort(busiest, std::greater{}, &Load::Relative);
     const auto newcomer =
       std::ranges::find_if(this->loads, [](const Load& aLoad) {
-        return aLoad.keys == 0 && aLoad.holder->maySettle;
+        return aLoad.keys == 0 && aLoad.holder->mayReceiveKeys;
       });
     if (newcomer != this->loads.end()) {
       return this->Settle(*newcomer, *busiest.front());
     }
     const auto idlest =
       std::ranges::find_if(busiest.rbegin(), busiest.rend(), [](Load* aLoad) {
-        return aLoad->holder->maySettle;
+        return aLoad->holder->mayReceiveKeys;
       });
     if (idlest == busiest.rend()) {
       return false;
@@ -287,7 +287,7 @@
     this->ranges = std::move(cut.ranges);
   }
 
-  const BalanceQuestion& question;
+  const BalanceInput& question;
   std::vector<AssignedRange> ranges;
   std::vector<Load> loads;
   double capacity = 0;
@@ -296,7 +296,7 @@
 
 } // namespace
 
-std::vector<BalanceMove> PlanMoves(const BalanceQuestion& aQuestion)
+std::vector<BalanceMove> PlanMoves(const BalanceInput& aQuestion)
 {
   return Planner(aQuestion).Plan();
 }
--- a/src/ownership/tests/balance_test.cpp
+++ b/src/ownership/tests/balance_test.cpp
@@ -71,7 +71,7 @@
   {
     std::mt19937 random(3);
     const Assignment assignment = AssignEvenly(Holders(4));
-    BalanceQuestion question = Question(assignment, Requests(random, 0.0));
+    BalanceInput question = Question(assignment, Requests(random, 0.0));
     question.holders.push_back({ { { "new" }, 1 }, 1, true });
     const auto moves = PlanMoves(question);
     CPPUNIT_ASSERT(std::ranges::any_of(moves, [](const BalanceMove& aMove) {
@@ -83,7 +83,7 @@
   {
     std::mt19937 random(4);
     const Assignment assignment = AssignEvenly(Holders(4));
-    BalanceQuestion question = Question(assignment, Requests(random, 0.4));
+    BalanceInput question = Question(assignment, Requests(random, 0.4));
     question.holders.push_back({ { { "cold" }, 1 }, 1, false });
     CPPUNIT_ASSERT(
       std::ranges::none_of(PlanMoves(question), [](const BalanceMove& aMove) {
@@ -255,9 +255,9 @@
     std::mt19937 random(6);
     Assignment assignment = AssignEvenly(Holders(137));
     for (int plan = 0; plan < 3; ++plan) {
-      BalanceQuestion question =
+      BalanceInput question =
         Question(assignment, Requests(random, 0.35, 750));
-      question.overload = kSudden;
+      question.overloadFactor = kSudden;
       const auto moves = PlanMoves(question);
       CPPUNIT_ASSERT(!moves.empty());
       for (const BalanceMove& move : moves) {
@@ -294,10 +294,10 @@
     return keys;
   }
 
-  static BalanceQuestion Question(const Assignment& aAssignment,
+  static BalanceInput Question(const Assignment& aAssignment,
                                   const std::vector<Key>& aRequests)
   {
-    BalanceQuestion question;
+    BalanceInput question;
     question.ranges = aAssignment.ranges;
     question.requests = aRequests;
     std::map<std::string, Holder> holders;
