--- a/src/node/internal/peerduty.h
+++ b/src/node/internal/peerduty.h
@@ -5,7 +5,7 @@
 
 #include "framework/clock.h"
 #include "ownership/assigner.h"
-#include "ownership/digesttimes.h"
+#include "ownership/digestsendtimes.h"
 #include "ownership/keymap.h"
 #include "protocol/gen/peer_types.h"
 #include "state/types.h"
@@ -44,7 +44,7 @@
         std::function<bool(const state::HostId&)> aIsMate);
 
   // The number of the digest that is sent now.
-  std::int64_t NextDigest() { return this->times.Next(this->clock()); }
+  std::int64_t NextDigest() { return this->times.RecordSend(this->clock()); }
   // The last digest that was heard from a host's run; 0 where there is none.
   std::int64_t HeardOf(const state::HostRef& aHost) const;
 
@@ -68,7 +68,7 @@
   const state::HostRef self;
   Clock clock;
   const std::function<bool(const state::HostId&)> isMate;
-  ownership::DigestTimes times;
+  ownership::DigestSendTimes times;
   std::map<state::HostId, KnownPeer> peers;
   std::set<state::HostId> silent;
 };
--- a/src/ownership/digesttimes.h
+++ b/src/ownership/digestsendtimes.h
@@ -15,11 +15,11 @@
 
 namespace kumquat::ownership {
 
-class DigestTimes
+class DigestSendTimes
 {
 public:
   // The number of the digest that is sent now; rises from 1.
-  std::int64_t Next(TimePoint aNow)
+  std::int64_t RecordSend(TimePoint aNow)
   {
     // Half a minute of digests; older ones count for nothing any more.
     constexpr std::size_t kKept = 300;
--- a/src/ownership/tests/keysworld.h
+++ b/src/ownership/tests/keysworld.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "ownership/assigner.h"
-#include "ownership/digesttimes.h"
+#include "ownership/digestsendtimes.h"
 
 #include <algorithm>
 #include <functional>
@@ -226,7 +226,7 @@
     std::unique_ptr<Assigner> assigner;
     std::map<std::string, PeerStatus> peers;
     MapVersion map;
-    DigestTimes times;
+    DigestSendTimes times;
     TimePoint digestDue;
     // Last digest of each peer.
     std::map<std::string, std::int64_t> heard;
@@ -272,7 +272,7 @@
   void SendDigest(const HostPtr& aHost)
   {
     const PeerStatus digest{ aHost->Ref(), {}, false, aHost->map, {} };
-    const std::int64_t number = aHost->times.Next(this->now);
+    const std::int64_t number = aHost->times.RecordSend(this->now);
     const std::int64_t heard = aHost->heard[aHost->map.assigner.host.value];
     for (const auto& [name, peer] : this->hosts) {
       if (peer == aHost || this->cutFromPeers.contains(name) ||
