--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -86,11 +86,11 @@
     this->Write(aService, aWrite, std::move(aDone));
   };
   own.sendCommand = this->hooks.order;
-  own.owners = [this, aService] { return this->OwnersOf(aService); };
+  own.candidates = [this, aService] { return this->OwnersOf(aService); };
   own.peers = [this, aService] { return this->peers.ViewsOf(aService); };
   own.publish = [this, aService] { this->Publish(aService); };
   own.preference = this->hooks.preference;
-  own.meet = this->hooks.meet;
+  own.requestConnection = this->hooks.meet;
   own.claimDelay = [this] {
     return this->hooks.asksStore() ? Duration(0) : Duration(kHubsClaim);
   };
@@ -102,15 +102,15 @@
     std::move(own));
 }
 
-std::vector<ownership::OwnerView> Keys::OwnersOf(const ServiceName& aService)
+std::vector<ownership::OwnerCandidate> Keys::OwnersOf(const ServiceName& aService)
 {
   const TimePoint now = this->hooks.now();
   const std::vector<routing::UpstreamState*>& all =
     this->upstreams.Of(aService).all;
   const double usualMs = this->upstreams.UsualMs(aService, now);
-  std::vector<ownership::OwnerView> owners;
+  std::vector<ownership::OwnerCandidate> owners;
   for (const routing::UpstreamState* one : all) {
-    ownership::OwnerView owner;
+    ownership::OwnerCandidate owner;
     owner.holder = { one->entry.id, one->entry.born };
     owner.address = one->entry.address;
     owner.mayOwn = this->upstreams.MayUse(*one);
@@ -266,14 +266,14 @@
 void Keys::OnUpstreams()
 {
   for (auto& [service, part] : this->parts) {
-    part.assigner->OnChange();
+    part.assigner->OnMembershipChange();
   }
 }
 
 void Keys::SetStoreWell(bool aWell)
 {
   for (auto& [service, part] : this->parts) {
-    part.assigner->SetStoreWell(aWell);
+    part.assigner->SetStoreAvailable(aWell);
   }
 }
 
@@ -327,7 +327,7 @@
     std::ranges::transform(
       use.keys, std::back_inserter(keys),
       [](std::int32_t aKey) { return static_cast<ownership::Key>(aKey); });
-    found->second.assigner->OnRequests(keys);
+    found->second.assigner->RecordRequests(keys);
   }
 }
 
--- a/src/node/internal/keysduty.h
+++ b/src/node/internal/keysduty.h
@@ -112,7 +112,7 @@
 
   std::unique_ptr<ownership::Assigner> MakeAssigner(
     const state::ServiceName& aService);
-  std::vector<ownership::OwnerView> OwnersOf(
+  std::vector<ownership::OwnerCandidate> OwnersOf(
     const state::ServiceName& aService);
   void Read(const state::ServiceName& aService,
             const ownership::Assigner::ReadDone& aDone);
--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -104,7 +104,7 @@
 };
 
 // An upstream as the assigner needs it.
-struct OwnerView
+struct OwnerCandidate
 {
   Holder holder;
   std::string address;
@@ -143,7 +143,7 @@
     std::function<void(ReadDone)> read;
     std::function<void(AssignmentWrite, WriteDone)> write;
     std::function<void(const LeaseCommand&, CommandDone)> sendCommand;
-    std::function<std::vector<OwnerView>()> owners;
+    std::function<std::vector<OwnerCandidate>()> candidates;
     // All other hosts that were ever heard.
     std::function<std::vector<PeerStatus>()> peers;
     // The host that should assign first, of any two: the higher one; empty
@@ -152,7 +152,7 @@
     // A host that was never heard as the assigner has claimed the keys. Where
     // not every host hears every other, asks for a connection to it; may be
     // empty.
-    std::function<void(const state::HostRef&)> meet;
+    std::function<void(const state::HostRef&)> requestConnection;
     // How much longer than others this host waits before it claims; may be
     // empty.
     std::function<Duration()> claimDelay;
@@ -177,11 +177,11 @@
   // To be called a few times a second, and oftener by the one that holds.
   void OnTimer();
   // Upstreams or peers have changed.
-  void OnChange();
+  void OnMembershipChange();
   // Keys of requests, as hosts report them.
-  void OnRequests(const std::vector<Key>& aKeys);
+  void RecordRequests(const std::vector<Key>& aKeys);
   // The store's answers are late or missing; renewals go on.
-  void SetStoreWell(bool aWell);
+  void SetStoreAvailable(bool aWell);
   // A planned stop: changes nothing more, so that another may take over, and
   // renews what is held until then.
   void Leave();
@@ -269,13 +269,13 @@
   Range* FindRange(Key aFirst, FencingToken aFence);
 
   void Plan();
-  bool PlanLosses(Assignment& aNext, const std::vector<OwnerView>& aOwners);
-  bool PlanBalance(Assignment& aNext, const std::vector<OwnerView>& aOwners);
+  bool PlanLosses(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
+  bool PlanBalance(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
   bool PlanJoins(Assignment& aNext);
   void GiveAway(Assignment& aNext, const Range& aRange,
                 const std::vector<Key>& aRequests,
-                std::vector<std::pair<OwnerView, double>>& aLoads);
-  const OwnerView* FindOwner(const std::vector<OwnerView>& aOwners,
+                std::vector<std::pair<OwnerCandidate, double>>& aLoads);
+  const OwnerCandidate* FindOwner(const std::vector<OwnerCandidate>& aOwners,
                              const Holder& aHolder) const;
   bool IsTroubled(const state::UpstreamId& aId) const;
   void SetTroubled(const state::UpstreamId& aId);
@@ -324,7 +324,7 @@
   };
   std::map<state::UpstreamId, Trouble> troubled;
   std::deque<std::pair<TimePoint, Key>> requests;
-  std::vector<OwnerView> owners;
+  std::vector<OwnerCandidate> owners;
 };
 
 } // namespace kumquat::ownership
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -74,7 +74,7 @@
 {
 }
 
-void Assigner::SetStoreWell(bool aWell)
+void Assigner::SetStoreAvailable(bool aWell)
 {
   this->storeWell = aWell;
 }
@@ -130,7 +130,7 @@
   if (this->phase != Phase::kHolding) {
     return;
   }
-  this->owners = this->hooks.owners();
+  this->owners = this->hooks.candidates();
   const TimePoint now = this->hooks.now();
   if (now >= this->confirmDue && !this->confirming && !this->writing) {
     this->Confirm();
@@ -142,7 +142,7 @@
   }
 }
 
-void Assigner::OnChange()
+void Assigner::OnMembershipChange()
 {
   if (this->phase == Phase::kHolding) {
     this->planDue = this->hooks.now();
@@ -150,7 +150,7 @@
   }
 }
 
-void Assigner::OnRequests(const std::vector<Key>& aKeys)
+void Assigner::RecordRequests(const std::vector<Key>& aKeys)
 {
   if (this->phase != Phase::kHolding) {
     return;
@@ -243,8 +243,8 @@
     return false;
   }
   this->met = aClaimant;
-  if (this->hooks.meet) {
-    this->hooks.meet(aClaimant);
+  if (this->hooks.requestConnection) {
+    this->hooks.requestConnection(aClaimant);
   }
   return true;
 }
@@ -257,7 +257,7 @@
       this->IsAssignerHeard()) {
     return;
   }
-  this->owners = this->hooks.owners();
+  this->owners = this->hooks.candidates();
   if (this->owners.empty()) {
     return;
   }
@@ -295,7 +295,7 @@
   write.assignmentText = aStored.assignmentText;
   if (aStored.assignmentVersion == 0) {
     std::vector<Holder> holders;
-    for (const OwnerView& owner : this->owners) {
+    for (const OwnerCandidate& owner : this->owners) {
       if (owner.mayOwn) {
         holders.push_back(owner.holder);
       }
--- a/src/ownership/internal/assignerorders.cpp
+++ b/src/ownership/internal/assignerorders.cpp
@@ -190,7 +190,7 @@
   Range& range = this->ranges[aIndex];
   std::erase_if(range.formers, [&](const Former& aFormer) {
     const auto owner =
-      std::ranges::find_if(this->owners, [&aFormer](const OwnerView& aOwner) {
+      std::ranges::find_if(this->owners, [&aFormer](const OwnerCandidate& aOwner) {
         return aOwner.holder.upstream == aFormer.holder.upstream;
       });
     // A new life holds nothing of the one before.
@@ -210,7 +210,7 @@
   Range& range = this->ranges[aIndex];
   Former& former = range.formers[aFormer];
   const auto owner =
-    std::ranges::find_if(this->owners, [&former](const OwnerView& aOwner) {
+    std::ranges::find_if(this->owners, [&former](const OwnerCandidate& aOwner) {
       return aOwner.holder == former.holder;
     });
   if (owner == this->owners.end()) {
@@ -252,7 +252,7 @@
   Range& range = this->ranges[aIndex];
   const TimePoint now = this->hooks.now();
   const auto owner =
-    std::ranges::find_if(this->owners, [&range](const OwnerView& aOwner) {
+    std::ranges::find_if(this->owners, [&range](const OwnerCandidate& aOwner) {
       return aOwner.holder == range.stored.holder;
     });
   if (owner == this->owners.end() || !this->MayRenew()) {
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -63,11 +63,11 @@
   });
 }
 
-const OwnerView* Assigner::FindOwner(const std::vector<OwnerView>& aOwners,
+const OwnerCandidate* Assigner::FindOwner(const std::vector<OwnerCandidate>& aOwners,
                                      const Holder& aHolder) const
 {
   const auto found =
-    std::ranges::find_if(aOwners, [&aHolder](const OwnerView& aOwner) {
+    std::ranges::find_if(aOwners, [&aHolder](const OwnerCandidate& aOwner) {
       return aOwner.holder == aHolder;
     });
   return found == aOwners.end() || !found->mayOwn ||
@@ -111,11 +111,11 @@
 
 // Keys whose holder may not or does not serve them.
 bool Assigner::PlanLosses(Assignment& aNext,
-                          const std::vector<OwnerView>& aOwners)
+                          const std::vector<OwnerCandidate>& aOwners)
 {
-  std::vector<std::pair<OwnerView, double>> loads;
+  std::vector<std::pair<OwnerCandidate, double>> loads;
   const auto collect = [&](bool aCold) {
-    for (const OwnerView& owner : aOwners) {
+    for (const OwnerCandidate& owner : aOwners) {
       if (owner.mayOwn && owner.cold == aCold &&
           !this->IsTroubled(owner.holder.upstream)) {
         loads.emplace_back(owner, 0.0);
@@ -159,7 +159,7 @@
 // In pieces, so that one lost upstream's requests do not drown another.
 void Assigner::GiveAway(Assignment& aNext, const Range& aRange,
                         const std::vector<Key>& aRequests,
-                        std::vector<std::pair<OwnerView, double>>& aLoads)
+                        std::vector<std::pair<OwnerCandidate, double>>& aLoads)
 {
   constexpr int kPieces = 3;
   const auto begin = std::ranges::lower_bound(aRequests, aRange.stored.first);
@@ -213,7 +213,7 @@
 }
 
 bool Assigner::PlanBalance(Assignment& aNext,
-                           const std::vector<OwnerView>& aOwners)
+                           const std::vector<OwnerCandidate>& aOwners)
 {
   const TimePoint now = this->hooks.now();
   if (now < this->balanceDue) {
@@ -228,7 +228,7 @@
       question.ranges.push_back(range.stored);
     }
   }
-  for (const OwnerView& owner : aOwners) {
+  for (const OwnerCandidate& owner : aOwners) {
     if (owner.mayOwn && !this->IsTroubled(owner.holder.upstream)) {
       question.holders.push_back({ owner.holder, owner.capacity, !owner.cold });
     }
--- a/src/ownership/tests/keysworld.h
+++ b/src/ownership/tests/keysworld.h
@@ -317,8 +317,8 @@
     hooks.sendCommand = [this, weak](const LeaseCommand& aOrder, Assigner::CommandDone aDone) {
       this->Carry(weak.lock(), aOrder, std::move(aDone));
     };
-    hooks.owners = [this] {
-      std::vector<OwnerView> owners;
+    hooks.candidates = [this] {
+      std::vector<OwnerCandidate> owners;
       for (const auto& [name, one] : this->upstreams) {
         if (one.alive) {
           owners.push_back({ one.holder, name, one.mayOwn, false, 1 });
