--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -186,11 +186,11 @@
   // renews what is held until then.
   void Leave();
 
-  bool IsAssigner() const { return this->phase == Phase::kHolding; }
+  bool IsAssigner() const { return this->phase == Phase::kActive; }
   MapVersion CurrentMapVersion() const;
   std::vector<MapRange> CurrentMap() const;
 
-  std::chrono::milliseconds LeaseDuration() const { return this->hold; }
+  std::chrono::milliseconds LeaseDuration() const { return this->leaseDuration; }
 
 private:
   enum class Phase
@@ -198,38 +198,38 @@
     kIdle,
     // A read or a write that may make this host the assigner is under way.
     kClaiming,
-    kHolding,
-    kLeft,
+    kActive,
+    kStopped,
   };
 
   // A former holder that may still hold.
-  struct Former
+  struct PreviousHolder
   {
     Holder holder;
-    TimePoint lapsesAt;
+    TimePoint leaseExpiresAt;
     // An assigner before this one may have renewed it too.
-    bool foreign = false;
-    bool asked = false;
-    TimePoint askAgain;
+    bool maybeRenewedByPredecessor = false;
+    bool commandPending = false;
+    TimePoint retryAt;
   };
 
-  struct Range
+  struct RangeState
   {
-    AssignedRange stored;
+    AssignedRange assigned;
     // Still to be released or waited out; then the holder is granted.
-    std::vector<Former> formers;
+    std::vector<PreviousHolder> previousHolders;
     bool granted = false;
     TimePoint grantedAt;
     std::string handover;
     // The holder's own hold; at the epoch where none was given.
-    TimePoint lapsesAt;
-    bool foreign = false;
-    TimePoint lastAnswer;
-    TimePoint nextGrant;
-    bool asked = false;
-    int failures = 0;
+    TimePoint leaseExpiresAt;
+    bool maybeRenewedByPredecessor = false;
+    TimePoint lastAnswerAt;
+    TimePoint nextGrantAt;
+    bool commandPending = false;
+    int consecutiveFailures = 0;
     // Its holder is being replaced; no more renewals.
-    bool stopped = false;
+    bool renewalsStopped = false;
   };
 
   void ConsiderClaim();
@@ -257,7 +257,7 @@
   void Reload();
 
   void Apply(const Assignment& aAssignment, state::Version aVersion);
-  Range MakeRange(const AssignedRange& aStored, const std::vector<Range>& aOld);
+  RangeState MakeRange(const AssignedRange& aStored, const std::vector<RangeState>& aOld);
   TimePoint LapseOf(TimePoint aOwn, bool aForeign) const;
   TimePoint LapseFromNow() const;
 
@@ -266,19 +266,19 @@
   void Release(std::size_t aIndex, std::size_t aFormer);
   void Grant(std::size_t aIndex);
   void OnGranted(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply);
-  Range* FindRange(Key aFirst, FencingToken aFence);
+  RangeState* FindRange(Key aFirst, FencingToken aFence);
 
   void Plan();
   bool PlanLosses(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
   bool PlanBalance(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
   bool PlanJoins(Assignment& aNext);
-  void GiveAway(Assignment& aNext, const Range& aRange,
+  void GiveAway(Assignment& aNext, const RangeState& aRange,
                 const std::vector<Key>& aRequests,
                 std::vector<std::pair<OwnerCandidate, double>>& aLoads);
   const OwnerCandidate* FindOwner(const std::vector<OwnerCandidate>& aOwners,
                              const Holder& aHolder) const;
-  bool IsTroubled(const state::UpstreamId& aId) const;
-  void SetTroubled(const state::UpstreamId& aId);
+  bool IsBackedOff(const state::UpstreamId& aId) const;
+  void StartBackoff(const state::UpstreamId& aId);
   // It has been given keys and has not answered yet.
   bool IsAwaited(const Holder& aHolder) const;
   // Those of the last aWindow.
@@ -288,43 +288,43 @@
 
   const Options options;
   const Hooks hooks;
-  const std::chrono::milliseconds hold;
+  const std::chrono::milliseconds leaseDuration;
   Phase phase = Phase::kIdle;
-  bool storeWell = true;
+  bool storeAvailable = true;
   bool leaving = false;
   TimePoint startedAt;
   TimePoint claimNotBefore;
   // Upstreams that were known at the last look before any keys were dealt.
-  std::size_t ownersSeen = 0;
+  std::size_t candidatesSeen = 0;
   // The claimant that was asked for last; see Hooks::meet.
-  state::HostRef met;
+  state::HostRef lastConnectionRequest;
   // Of this host's own tenure.
-  AssignmentRows stored;
+  AssignmentRows rows;
   Assignment assignment;
-  std::vector<Range> ranges;
-  std::int64_t step = 0;
-  TimePoint confirmedAt;
-  TimePoint confirmDue;
-  bool confirming = false;
-  bool writing = false;
+  std::vector<RangeState> ranges;
+  std::int64_t revision = 0;
+  TimePoint claimConfirmedAt;
+  TimePoint claimCheckDue;
+  bool claimCheckPending = false;
+  bool writePending = false;
   TimePoint planDue;
   TimePoint balanceDue;
-  TimePoint joinDue;
+  TimePoint mergeDue;
   TimePoint claimedAt;
   // Assigners before this one may still renew.
-  bool foreignMayRenew = false;
+  bool predecessorsMayRenew = false;
   // What they renewed has lapsed by then.
-  TimePoint foreignLapse;
+  TimePoint predecessorLeasesExpireAt;
   // Upstreams that did not answer orders; until they answer one, each further
   // failure doubles the time in which they get no keys.
-  struct Trouble
+  struct Backoff
   {
     TimePoint until;
-    std::chrono::milliseconds lasts{ 0 };
+    std::chrono::milliseconds duration{ 0 };
   };
-  std::map<state::UpstreamId, Trouble> troubled;
-  std::deque<std::pair<TimePoint, Key>> requests;
-  std::vector<OwnerCandidate> owners;
+  std::map<state::UpstreamId, Backoff> backoffs;
+  std::deque<std::pair<TimePoint, Key>> recentRequests;
+  std::vector<OwnerCandidate> candidates;
 };
 
 } // namespace kumquat::ownership
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -69,14 +69,14 @@
 Assigner::Assigner(Options aOptions, Hooks aHooks)
   : options(std::move(aOptions))
   , hooks(std::move(aHooks))
-  , hold(std::min(kHold, this->options.maxLease))
+  , leaseDuration(std::min(kHold, this->options.maxLease))
   , startedAt(this->hooks.now())
 {
 }
 
 void Assigner::SetStoreAvailable(bool aWell)
 {
-  this->storeWell = aWell;
+  this->storeAvailable = aWell;
 }
 
 // Failure: the assigner's host is stopped by plan while the store is out.
@@ -87,29 +87,29 @@
 void Assigner::Leave()
 {
   this->leaving = true;
-  if (this->phase == Phase::kHolding) {
+  if (this->phase == Phase::kActive) {
     this->hooks.log("assigner-leaves", "planned stop");
   } else {
-    this->phase = Phase::kLeft;
+    this->phase = Phase::kStopped;
   }
 }
 
 MapVersion Assigner::CurrentMapVersion() const
 {
-  return { this->stored.assignmentVersion, this->step, this->options.self };
+  return { this->rows.assignmentVersion, this->revision, this->options.self };
 }
 
 std::vector<MapRange> Assigner::CurrentMap() const
 {
   std::vector<MapRange> map;
-  for (const Range& range : this->ranges) {
-    const bool open = range.granted && range.formers.empty();
+  for (const RangeState& range : this->ranges) {
+    const bool open = range.granted && range.previousHolders.empty();
     const state::UpstreamId owner =
-      open ? range.stored.holder.upstream : state::UpstreamId{};
+      open ? range.assigned.holder.upstream : state::UpstreamId{};
     if (!map.empty() && map.back().upstream == owner) {
-      map.back().last = range.stored.last;
+      map.back().last = range.assigned.last;
     } else {
-      map.push_back({ range.stored.first, range.stored.last, owner });
+      map.push_back({ range.assigned.first, range.assigned.last, owner });
     }
   }
   return map;
@@ -117,7 +117,7 @@
 
 void Assigner::Publish()
 {
-  ++this->step;
+  ++this->revision;
   this->hooks.publish();
 }
 
@@ -127,24 +127,24 @@
     this->ConsiderClaim();
     return;
   }
-  if (this->phase != Phase::kHolding) {
+  if (this->phase != Phase::kActive) {
     return;
   }
-  this->owners = this->hooks.candidates();
+  this->candidates = this->hooks.candidates();
   const TimePoint now = this->hooks.now();
-  if (now >= this->confirmDue && !this->confirming && !this->writing) {
+  if (now >= this->claimCheckDue && !this->claimCheckPending && !this->writePending) {
     this->Confirm();
   }
   this->CheckForeign();
   this->Drive();
-  if (this->phase == Phase::kHolding && now >= this->planDue) {
+  if (this->phase == Phase::kActive && now >= this->planDue) {
     this->Plan();
   }
 }
 
 void Assigner::OnMembershipChange()
 {
-  if (this->phase == Phase::kHolding) {
+  if (this->phase == Phase::kActive) {
     this->planDue = this->hooks.now();
     this->OnTimer();
   }
@@ -152,17 +152,17 @@
 
 void Assigner::RecordRequests(const std::vector<Key>& aKeys)
 {
-  if (this->phase != Phase::kHolding) {
+  if (this->phase != Phase::kActive) {
     return;
   }
   const TimePoint now = this->hooks.now();
   for (const Key key : aKeys) {
-    this->requests.emplace_back(now, key);
+    this->recentRequests.emplace_back(now, key);
   }
-  while (!this->requests.empty() &&
-         (now - this->requests.front().first > kRequestWindow ||
-          this->requests.size() > kMostRequests)) {
-    this->requests.pop_front();
+  while (!this->recentRequests.empty() &&
+         (now - this->recentRequests.front().first > kRequestWindow ||
+          this->recentRequests.size() > kMostRequests)) {
+    this->recentRequests.pop_front();
   }
 }
 
@@ -216,8 +216,8 @@
 bool Assigner::IsTooEarlyToDeal(const AssignmentRows& aStored)
 {
   const std::size_t before =
-    std::exchange(this->ownersSeen, this->owners.size());
-  return aStored.assignmentVersion == 0 && before != this->owners.size() &&
+    std::exchange(this->candidatesSeen, this->candidates.size());
+  return aStored.assignmentVersion == 0 && before != this->candidates.size() &&
          this->hooks.now() < this->LatestDeal();
 }
 
@@ -233,7 +233,7 @@
 {
   const bool isKnown =
     aClaimant.host.value.empty() || aClaimant.host == this->options.self.host ||
-    aClaimant == this->met ||
+    aClaimant == this->lastConnectionRequest ||
     std::ranges::any_of(this->hooks.peers(), [&](const PeerStatus& aPeer) {
       return aPeer.host.host == aClaimant.host &&
              (aPeer.host.incarnation > aClaimant.incarnation ||
@@ -242,7 +242,7 @@
   if (isKnown) {
     return false;
   }
-  this->met = aClaimant;
+  this->lastConnectionRequest = aClaimant;
   if (this->hooks.requestConnection) {
     this->hooks.requestConnection(aClaimant);
   }
@@ -257,8 +257,8 @@
       this->IsAssignerHeard()) {
     return;
   }
-  this->owners = this->hooks.candidates();
-  if (this->owners.empty()) {
+  this->candidates = this->hooks.candidates();
+  if (this->candidates.empty()) {
     return;
   }
   this->phase = Phase::kClaiming;
@@ -295,7 +295,7 @@
   write.assignmentText = aStored.assignmentText;
   if (aStored.assignmentVersion == 0) {
     std::vector<Holder> holders;
-    for (const OwnerCandidate& owner : this->owners) {
+    for (const OwnerCandidate& owner : this->candidates) {
       if (owner.mayOwn) {
         holders.push_back(owner.holder);
       }
@@ -335,32 +335,32 @@
     this->claimNotBefore = now + kForgotten;
     return;
   }
-  this->phase = Phase::kHolding;
-  this->stored = aStored;
-  this->stored.assigner = this->options.self;
-  this->confirmedAt = now;
-  this->confirmDue = now + kConfirmEvery;
+  this->phase = Phase::kActive;
+  this->rows = aStored;
+  this->rows.assigner = this->options.self;
+  this->claimConfirmedAt = now;
+  this->claimCheckDue = now + kConfirmEvery;
   this->planDue = now + kPlanEvery;
   this->ranges.clear();
-  this->requests.clear();
-  this->troubled.clear();
-  this->writing = false;
-  this->confirming = false;
-  this->step = 0;
+  this->recentRequests.clear();
+  this->backoffs.clear();
+  this->writePending = false;
+  this->claimCheckPending = false;
+  this->revision = 0;
   const bool isFirst = aStored.assigner.host.value.empty();
   this->claimedAt = now;
   // Not only the last one: those before it may have stood still ever since.
-  this->foreignMayRenew = !isFirst;
-  this->foreignLapse = isFirst ? TimePoint{} : TimePoint::max();
+  this->predecessorsMayRenew = !isFirst;
+  this->predecessorLeasesExpireAt = isFirst ? TimePoint{} : TimePoint::max();
   this->assignment = *parsed;
   for (const AssignedRange& one : parsed->ranges) {
-    Range range;
-    range.stored = one;
+    RangeState range;
+    range.assigned = one;
     range.granted = !isFirst && one.previousHolders.empty();
-    range.foreign = !isFirst;
-    range.lastAnswer = now;
+    range.maybeRenewedByPredecessor = !isFirst;
+    range.lastAnswerAt = now;
     for (const Holder& holder : one.previousHolders) {
-      range.formers.push_back({ holder, {}, true, false, {} });
+      range.previousHolders.push_back({ holder, {}, true, false, {} });
     }
     this->ranges.push_back(std::move(range));
   }
@@ -372,20 +372,20 @@
 void Assigner::StepDown(std::string_view aWhy)
 {
   this->hooks.log("assigner-lost", aWhy);
-  this->phase = this->leaving ? Phase::kLeft : Phase::kIdle;
+  this->phase = this->leaving ? Phase::kStopped : Phase::kIdle;
   this->ranges.clear();
   this->claimNotBefore = this->hooks.now() + kClaimPause;
 }
 
 void Assigner::Confirm()
 {
-  this->confirming = true;
+  this->claimCheckPending = true;
   const TimePoint asked = this->hooks.now();
-  this->confirmDue = asked + kConfirmEvery;
-  const state::Version claim = this->stored.claimVersion;
+  this->claimCheckDue = asked + kConfirmEvery;
+  const state::Version claim = this->rows.claimVersion;
   this->hooks.read([this, asked, claim](Result<AssignmentRows> aStored) {
-    this->confirming = false;
-    if (this->phase != Phase::kHolding || claim != this->stored.claimVersion ||
+    this->claimCheckPending = false;
+    if (this->phase != Phase::kActive || claim != this->rows.claimVersion ||
         !aStored) {
       return;
     }
@@ -393,7 +393,7 @@
       this->StepDown("another host has claimed");
       return;
     }
-    this->confirmedAt = asked;
+    this->claimConfirmedAt = asked;
   });
 }
 
@@ -415,7 +415,7 @@
 
 bool Assigner::MayRenew() const
 {
-  if (this->hooks.now() - this->confirmedAt <= kConfirmed) {
+  if (this->hooks.now() - this->claimConfirmedAt <= kConfirmed) {
     return true;
   }
   const auto [followers, known] = this->Followers();
@@ -430,18 +430,18 @@
 {
   for (const PeerStatus& peer : this->hooks.peers()) {
     // A map of a later version comes from an assigner that has claimed since.
-    if (peer.mapVersion.assignmentVersion > this->stored.assignmentVersion &&
-        peer.mapVersion.assigner != this->options.self && !this->writing) {
+    if (peer.mapVersion.assignmentVersion > this->rows.assignmentVersion &&
+        peer.mapVersion.assigner != this->options.self && !this->writePending) {
       this->StepDown("a peer knows a later map");
       return;
     }
   }
   const auto [followers, known] = this->Followers();
-  if (this->foreignMayRenew && followers * 2 > known) {
+  if (this->predecessorsMayRenew && followers * 2 > known) {
     const TimePoint now = this->hooks.now();
     const TimePoint stops = std::max(this->claimedAt + kConfirmed, now + kSaid);
-    this->foreignLapse = this->LapseFromNow() + (stops - now);
-    this->foreignMayRenew = false;
+    this->predecessorLeasesExpireAt = this->LapseFromNow() + (stops - now);
+    this->predecessorsMayRenew = false;
   }
 }
 
--- a/src/ownership/internal/assignerorders.cpp
+++ b/src/ownership/internal/assignerorders.cpp
@@ -38,22 +38,22 @@
 
 void Assigner::Write(const Assignment& aNext)
 {
-  this->writing = true;
+  this->writePending = true;
   AssignmentWrite write;
-  write.expected = this->stored;
+  write.expected = this->rows;
   write.assignmentText = SerializeAssignment(aNext);
   const TimePoint asked = this->hooks.now();
   this->hooks.write(write, [this, aNext, asked](WriteOutcome aOutcome,
                                                 state::Version aVersion) {
-    if (this->phase != Phase::kHolding) {
+    if (this->phase != Phase::kActive) {
       return;
     }
     if (aOutcome != WriteOutcome::kWritten) {
       this->Reload();
       return;
     }
-    this->writing = false;
-    this->confirmedAt = std::max(this->confirmedAt, asked);
+    this->writePending = false;
+    this->claimConfirmedAt = std::max(this->claimConfirmedAt, asked);
     this->Apply(aNext, aVersion);
   });
 }
@@ -63,29 +63,29 @@
 {
   const TimePoint asked = this->hooks.now();
   this->hooks.read([this, asked](Result<AssignmentRows> aStored) {
-    this->writing = false;
-    if (this->phase != Phase::kHolding) {
+    this->writePending = false;
+    if (this->phase != Phase::kActive) {
       return;
     }
     if (!aStored) {
       // Renewals go on; the plan tries again.
       this->planDue = this->hooks.now() + kPlanEvery;
       std::ranges::for_each(this->ranges,
-                            [](Range& aRange) { aRange.stopped = false; });
+                            [](RangeState& aRange) { aRange.renewalsStopped = false; });
       return;
     }
-    if (aStored->claimVersion != this->stored.claimVersion) {
+    if (aStored->claimVersion != this->rows.claimVersion) {
       this->StepDown("another host has claimed");
       return;
     }
-    this->confirmedAt = std::max(this->confirmedAt, asked);
+    this->claimConfirmedAt = std::max(this->claimConfirmedAt, asked);
     const auto parsed = ParseAssignment(aStored->assignmentText);
     if (parsed &&
-        aStored->assignmentVersion != this->stored.assignmentVersion) {
+        aStored->assignmentVersion != this->rows.assignmentVersion) {
       this->Apply(*parsed, aStored->assignmentVersion);
     } else {
       std::ranges::for_each(this->ranges,
-                            [](Range& aRange) { aRange.stopped = false; });
+                            [](RangeState& aRange) { aRange.renewalsStopped = false; });
     }
   });
 }
@@ -93,66 +93,66 @@
 TimePoint Assigner::LapseFromNow() const
 {
   const std::chrono::duration<double, std::milli> slow =
-    this->hold * kSlowClock;
+    this->leaseDuration * kSlowClock;
   return this->hooks.now() + std::chrono::duration_cast<Duration>(slow) +
          kOnItsWay;
 }
 
 TimePoint Assigner::LapseOf(TimePoint aOwn, bool aForeign) const
 {
-  return aForeign ? std::max(aOwn, this->foreignLapse) : aOwn;
+  return aForeign ? std::max(aOwn, this->predecessorLeasesExpireAt) : aOwn;
 }
 
 void Assigner::Apply(const Assignment& aAssignment, state::Version aVersion)
 {
-  std::vector<Range> old = std::move(this->ranges);
+  std::vector<RangeState> old = std::move(this->ranges);
   this->ranges.clear();
   this->assignment = aAssignment;
-  this->stored.assignmentVersion = aVersion;
+  this->rows.assignmentVersion = aVersion;
   for (const AssignedRange& one : aAssignment.ranges) {
     this->ranges.push_back(this->MakeRange(one, old));
   }
-  this->step = 0;
+  this->revision = 0;
   this->Publish();
   this->Drive();
 }
 
-Assigner::Range Assigner::MakeRange(const AssignedRange& aStored,
-                                    const std::vector<Range>& aOld)
+Assigner::RangeState Assigner::MakeRange(const AssignedRange& aStored,
+                                    const std::vector<RangeState>& aOld)
 {
   const TimePoint now = this->hooks.now();
-  Range range;
-  range.stored = aStored;
-  range.lastAnswer = now;
+  RangeState range;
+  range.assigned = aStored;
+  range.lastAnswerAt = now;
   // Keys that stay where they are go on being served while they get the
   // higher token.
   bool stays = true;
-  for (const Range& old : aOld) {
-    if (old.stored.last < aStored.first || old.stored.first > aStored.last) {
+  for (const RangeState& old : aOld) {
+    if (old.assigned.last < aStored.first || old.assigned.first > aStored.last) {
       continue;
     }
-    if (old.stored.fencingToken == aStored.fencingToken) {
-      Range kept = old;
-      kept.stored = aStored;
+    if (old.assigned.fencingToken == aStored.fencingToken) {
+      RangeState kept = old;
+      kept.assigned = aStored;
       // An order under way named other keys; its end finds nothing.
-      kept.asked = false;
-      kept.stopped = false;
+      kept.commandPending = false;
+      kept.renewalsStopped = false;
       return kept;
     }
-    const bool same = old.stored.holder == aStored.holder;
-    stays = stays && same && old.granted && old.formers.empty();
-    for (const Former& former : old.formers) {
+    const bool same = old.assigned.holder == aStored.holder;
+    stays = stays && same && old.granted && old.previousHolders.empty();
+    for (const PreviousHolder& former : old.previousHolders) {
       if (former.holder != aStored.holder) {
-        range.formers.push_back(
-          { former.holder, former.lapsesAt, former.foreign, false, {} });
+        range.previousHolders.push_back(
+          { former.holder, former.leaseExpiresAt, former.maybeRenewedByPredecessor, false, {} });
       }
     }
     if (same) {
-      range.lapsesAt = std::max(range.lapsesAt, old.lapsesAt);
-      range.foreign = range.foreign || old.foreign;
-    } else if (old.lapsesAt != TimePoint{} || old.foreign) {
-      range.formers.push_back(
-        { old.stored.holder, old.lapsesAt, old.foreign, false, {} });
+      range.leaseExpiresAt = std::max(range.leaseExpiresAt, old.leaseExpiresAt);
+      range.maybeRenewedByPredecessor = range.maybeRenewedByPredecessor || old.maybeRenewedByPredecessor;
+    } else if (old.leaseExpiresAt != TimePoint{} || old.maybeRenewedByPredecessor) {
+      range.previousHolders.push_back(
+        { old.assigned.holder, old.leaseExpiresAt, old.maybeRenewedByPredecessor, false, {} });
     }
   }
   range.granted = stays;
@@ -165,20 +165,20 @@
 {
   const TimePoint now = this->hooks.now();
   for (std::size_t i = 0;
-       this->phase == Phase::kHolding && i < this->ranges.size(); ++i) {
-    Range& range = this->ranges[i];
-    if (!range.formers.empty()) {
+       this->phase == Phase::kActive && i < this->ranges.size(); ++i) {
+    RangeState& range = this->ranges[i];
+    if (!range.previousHolders.empty()) {
       this->DriveFormers(i);
     }
     // A holder whose renewals fail refuses the keys from now on; callers are
     // told so at once rather than by it.
-    if (range.granted && this->LapseOf(range.lapsesAt, range.foreign) <= now) {
+    if (range.granted && this->LapseOf(range.leaseExpiresAt, range.maybeRenewedByPredecessor) <= now) {
       range.granted = false;
-      this->hooks.log("keys-lapsed", Describe(range.stored));
+      this->hooks.log("keys-lapsed", Describe(range.assigned));
       this->Publish();
     }
-    if (range.formers.empty() && !range.asked && !range.stopped &&
-        now >= range.nextGrant) {
+    if (range.previousHolders.empty() && !range.commandPending && !range.renewalsStopped &&
+        now >= range.nextGrantAt) {
       this->Grant(i);
     }
   }
@@ -187,19 +187,19 @@
 void Assigner::DriveFormers(std::size_t aIndex)
 {
   const TimePoint now = this->hooks.now();
-  Range& range = this->ranges[aIndex];
-  std::erase_if(range.formers, [&](const Former& aFormer) {
+  RangeState& range = this->ranges[aIndex];
+  std::erase_if(range.previousHolders, [&](const PreviousHolder& aFormer) {
     const auto owner =
-      std::ranges::find_if(this->owners, [&aFormer](const OwnerCandidate& aOwner) {
+      std::ranges::find_if(this->candidates, [&aFormer](const OwnerCandidate& aOwner) {
         return aOwner.holder.upstream == aFormer.holder.upstream;
       });
     // A new life holds nothing of the one before.
     const bool reborn =
-      owner != this->owners.end() && owner->holder.startedMs > aFormer.holder.startedMs;
-    return reborn || this->LapseOf(aFormer.lapsesAt, aFormer.foreign) <= now;
+      owner != this->candidates.end() && owner->holder.startedMs > aFormer.holder.startedMs;
+    return reborn || this->LapseOf(aFormer.leaseExpiresAt, aFormer.maybeRenewedByPredecessor) <= now;
   });
-  for (std::size_t i = 0; i < range.formers.size(); ++i) {
-    if (!range.formers[i].asked && range.formers[i].askAgain <= now) {
+  for (std::size_t i = 0; i < range.previousHolders.size(); ++i) {
+    if (!range.previousHolders[i].commandPending && range.previousHolders[i].retryAt <= now) {
       this->Release(aIndex, i);
     }
   }
@@ -207,40 +207,40 @@
 
 void Assigner::Release(std::size_t aIndex, std::size_t aFormer)
 {
-  Range& range = this->ranges[aIndex];
-  Former& former = range.formers[aFormer];
+  RangeState& range = this->ranges[aIndex];
+  PreviousHolder& former = range.previousHolders[aFormer];
   const auto owner =
-    std::ranges::find_if(this->owners, [&former](const OwnerCandidate& aOwner) {
+    std::ranges::find_if(this->candidates, [&former](const OwnerCandidate& aOwner) {
       return aOwner.holder == former.holder;
     });
-  if (owner == this->owners.end()) {
+  if (owner == this->candidates.end()) {
     return;
   }
-  former.asked = true;
+  former.commandPending = true;
   LeaseCommand order;
   order.kind = LeaseCommandKind::kRelease;
   order.upstream = former.holder.upstream;
   order.address = owner->address;
-  order.first = range.stored.first;
-  order.last = range.stored.last;
-  order.fencingToken = range.stored.fencingToken;
-  this->hooks.sendCommand(order, [this, first = range.stored.first,
-                            fence = range.stored.fencingToken,
+  order.first = range.assigned.first;
+  order.last = range.assigned.last;
+  order.fencingToken = range.assigned.fencingToken;
+  this->hooks.sendCommand(order, [this, first = range.assigned.first,
+                            fence = range.assigned.fencingToken,
                             holder = former.holder](const LeaseCommandReply& aReply) {
-    Range* found = this->FindRange(first, fence);
+    RangeState* found = this->FindRange(first, fence);
     if (found == nullptr) {
       return;
     }
     const auto asked =
-      std::ranges::find(found->formers, holder, &Former::holder);
-    if (asked == found->formers.end()) {
+      std::ranges::find(found->previousHolders, holder, &PreviousHolder::holder);
+    if (asked == found->previousHolders.end()) {
       return;
     }
-    asked->asked = false;
-    asked->askAgain = this->hooks.now() + kRetryOrder;
+    asked->commandPending = false;
+    asked->retryAt = this->hooks.now() + kRetryOrder;
     if (aReply.result == LeaseCommandResult::kDone ||
         aReply.result == LeaseCommandResult::kOtherUpstream) {
-      found->formers.erase(asked);
+      found->previousHolders.erase(asked);
       found->handover = aReply.handover;
       this->Drive();
     }
@@ -249,78 +249,78 @@
 
 void Assigner::Grant(std::size_t aIndex)
 {
-  Range& range = this->ranges[aIndex];
+  RangeState& range = this->ranges[aIndex];
   const TimePoint now = this->hooks.now();
   const auto owner =
-    std::ranges::find_if(this->owners, [&range](const OwnerCandidate& aOwner) {
-      return aOwner.holder == range.stored.holder;
+    std::ranges::find_if(this->candidates, [&range](const OwnerCandidate& aOwner) {
+      return aOwner.holder == range.assigned.holder;
     });
-  if (owner == this->owners.end() || !this->MayRenew()) {
+  if (owner == this->candidates.end() || !this->MayRenew()) {
     return;
   }
-  range.asked = true;
-  range.lapsesAt = std::max(range.lapsesAt, this->LapseFromNow());
-  range.nextGrant = now + this->hold / kRenewalsInHold;
+  range.commandPending = true;
+  range.leaseExpiresAt = std::max(range.leaseExpiresAt, this->LapseFromNow());
+  range.nextGrantAt = now + this->leaseDuration / kRenewalsInHold;
   LeaseCommand order;
-  order.upstream = range.stored.holder.upstream;
+  order.upstream = range.assigned.holder.upstream;
   order.address = owner->address;
-  order.first = range.stored.first;
-  order.last = range.stored.last;
-  order.fencingToken = range.stored.fencingToken;
-  order.leaseDuration = this->hold;
+  order.first = range.assigned.first;
+  order.last = range.assigned.last;
+  order.fencingToken = range.assigned.fencingToken;
+  order.leaseDuration = this->leaseDuration;
   order.handover = range.handover;
   this->hooks.sendCommand(order,
-                    [this, first = range.stored.first,
-                     fence = range.stored.fencingToken](const LeaseCommandReply& aReply) {
+                    [this, first = range.assigned.first,
+                     fence = range.assigned.fencingToken](const LeaseCommandReply& aReply) {
                       this->OnGranted(first, fence, aReply);
                     });
 }
 
-Assigner::Range* Assigner::FindRange(Key aFirst, FencingToken aFence)
+Assigner::RangeState* Assigner::FindRange(Key aFirst, FencingToken aFence)
 {
-  if (this->phase != Phase::kHolding) {
+  if (this->phase != Phase::kActive) {
     return nullptr;
   }
   const auto found =
-    std::ranges::find_if(this->ranges, [aFirst, aFence](const Range& aRange) {
-      return aRange.stored.first == aFirst && aRange.stored.fencingToken == aFence;
+    std::ranges::find_if(this->ranges, [aFirst, aFence](const RangeState& aRange) {
+      return aRange.assigned.first == aFirst && aRange.assigned.fencingToken == aFence;
     });
   return found == this->ranges.end() ? nullptr : &*found;
 }
 
 void Assigner::OnGranted(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply)
 {
-  Range* range = this->FindRange(aFirst, aFence);
+  RangeState* range = this->FindRange(aFirst, aFence);
   if (range == nullptr) {
     return;
   }
   const TimePoint now = this->hooks.now();
-  range->asked = false;
+  range->commandPending = false;
   if (aReply.result == LeaseCommandResult::kDone) {
-    range->lastAnswer = now;
-    range->failures = 0;
-    this->troubled.erase(range->stored.holder.upstream);
+    range->lastAnswerAt = now;
+    range->consecutiveFailures = 0;
+    this->backoffs.erase(range->assigned.holder.upstream);
     range->handover.clear();
     if (!range->granted) {
       range->granted = true;
       range->grantedAt = now;
-      this->hooks.log("keys-granted", Describe(range->stored));
+      this->hooks.log("keys-granted", Describe(range->assigned));
       this->Publish();
     }
     return;
   }
-  ++range->failures;
-  range->nextGrant = now + kRetryOrder;
+  ++range->consecutiveFailures;
+  range->nextGrantAt = now + kRetryOrder;
   this->hooks.log("grant-failed",
-                  Describe(range->stored) + ": " +
+                  Describe(range->assigned) + ": " +
                     std::string(LeaseCommandResultName(aReply.result)));
   const bool surely = aReply.result == LeaseCommandResult::kFenced ||
                       aReply.result == LeaseCommandResult::kOtherUpstream;
-  const bool silent = range->failures >= kFailuresToLose &&
-                      (now - range->lastAnswer >= kSilentHolder ||
+  const bool silent = range->consecutiveFailures >= kFailuresToLose &&
+                      (now - range->lastAnswerAt >= kSilentHolder ||
                        aReply.result == LeaseCommandResult::kUnreachable);
   if (surely || silent) {
-    this->SetTroubled(range->stored.holder.upstream);
+    this->StartBackoff(range->assigned.holder.upstream);
     this->planDue = now;
     this->Plan();
   }
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -35,31 +35,31 @@
 
 } // namespace
 
-bool Assigner::IsTroubled(const state::UpstreamId& aId) const
+bool Assigner::IsBackedOff(const state::UpstreamId& aId) const
 {
-  const auto found = this->troubled.find(aId);
-  return found != this->troubled.end() &&
+  const auto found = this->backoffs.find(aId);
+  return found != this->backoffs.end() &&
          found->second.until > this->hooks.now();
 }
 
-void Assigner::SetTroubled(const state::UpstreamId& aId)
+void Assigner::StartBackoff(const state::UpstreamId& aId)
 {
   const TimePoint now = this->hooks.now();
-  Trouble& trouble = this->troubled[aId];
+  Backoff& trouble = this->backoffs[aId];
   // All its ranges fail together; that is one trouble.
   if (trouble.until > now) {
     return;
   }
-  trouble.lasts = trouble.lasts.count() == 0
+  trouble.duration = trouble.duration.count() == 0
                     ? kTroubled
-                    : std::min(kLongestTrouble, trouble.lasts * 2);
-  trouble.until = now + trouble.lasts;
+                    : std::min(kLongestTrouble, trouble.duration * 2);
+  trouble.until = now + trouble.duration;
 }
 
 bool Assigner::IsAwaited(const Holder& aHolder) const
 {
-  return std::ranges::any_of(this->ranges, [&aHolder](const Range& aRange) {
-    return aRange.stored.holder == aHolder && !aRange.granted;
+  return std::ranges::any_of(this->ranges, [&aHolder](const RangeState& aRange) {
+    return aRange.assigned.holder == aHolder && !aRange.granted;
   });
 }
 
@@ -71,7 +71,7 @@
       return aOwner.holder == aHolder;
     });
   return found == aOwners.end() || !found->mayOwn ||
-             this->IsTroubled(aHolder.upstream)
+             this->IsBackedOff(aHolder.upstream)
            ? nullptr
            : &*found;
 }
@@ -80,9 +80,9 @@
 {
   const TimePoint from = this->hooks.now() - aWindow;
   const auto first = std::ranges::find_if(
-    this->requests, [from](const auto& aOne) { return aOne.first >= from; });
+    this->recentRequests, [from](const auto& aOne) { return aOne.first >= from; });
   std::vector<Key> keys;
-  std::transform(first, this->requests.end(), std::back_inserter(keys),
+  std::transform(first, this->recentRequests.end(), std::back_inserter(keys),
                  [](const auto& aOne) { return aOne.second; });
   std::ranges::sort(keys);
   return keys;
@@ -91,7 +91,7 @@
 void Assigner::Plan()
 {
   const TimePoint now = this->hooks.now();
-  if (this->writing || this->phase != Phase::kHolding || !this->storeWell ||
+  if (this->writePending || this->phase != Phase::kActive || !this->storeAvailable ||
       this->leaving) {
     return;
   }
@@ -103,8 +103,8 @@
       next.ranges[i].previousHolders.clear();
     }
   }
-  if (this->PlanLosses(next, this->owners) ||
-      this->PlanBalance(next, this->owners) || this->PlanJoins(next)) {
+  if (this->PlanLosses(next, this->candidates) ||
+      this->PlanBalance(next, this->candidates) || this->PlanJoins(next)) {
     this->Write(next);
   }
 }
@@ -117,7 +117,7 @@
   const auto collect = [&](bool aCold) {
     for (const OwnerCandidate& owner : aOwners) {
       if (owner.mayOwn && owner.cold == aCold &&
-          !this->IsTroubled(owner.holder.upstream)) {
+          !this->IsBackedOff(owner.holder.upstream)) {
         loads.emplace_back(owner, 0.0);
       }
     }
@@ -131,25 +131,25 @@
   }
   const std::vector<Key> keys = this->SortedRequests(kRequestWindow);
   for (auto& [owner, load] : loads) {
-    for (const Range& range : this->ranges) {
-      if (range.stored.holder == owner.holder) {
-        const auto begin = std::ranges::lower_bound(keys, range.stored.first);
-        const auto end = std::ranges::upper_bound(keys, range.stored.last);
+    for (const RangeState& range : this->ranges) {
+      if (range.assigned.holder == owner.holder) {
+        const auto begin = std::ranges::lower_bound(keys, range.assigned.first);
+        const auto end = std::ranges::upper_bound(keys, range.assigned.last);
         // Keys count a little too, for services without requests yet.
         load += static_cast<double>(end - begin) +
-                static_cast<double>(range.stored.last - range.stored.first) /
+                static_cast<double>(range.assigned.last - range.assigned.first) /
                   kLastKey;
       }
     }
     load /= owner.capacity;
   }
   bool changed = false;
-  for (Range& range : this->ranges) {
-    if (this->FindOwner(aOwners, range.stored.holder) == nullptr) {
+  for (RangeState& range : this->ranges) {
+    if (this->FindOwner(aOwners, range.assigned.holder) == nullptr) {
       this->GiveAway(aNext, range, keys, loads);
       // No renewal may lengthen a hold that has to be waited out; one that can
       // be released is renewed until the change is stored.
-      range.stopped = this->IsTroubled(range.stored.holder.upstream);
+      range.renewalsStopped = this->IsBackedOff(range.assigned.holder.upstream);
       changed = true;
     }
   }
@@ -157,28 +157,28 @@
 }
 
 // In pieces, so that one lost upstream's requests do not drown another.
-void Assigner::GiveAway(Assignment& aNext, const Range& aRange,
+void Assigner::GiveAway(Assignment& aNext, const RangeState& aRange,
                         const std::vector<Key>& aRequests,
                         std::vector<std::pair<OwnerCandidate, double>>& aLoads)
 {
   constexpr int kPieces = 3;
-  const auto begin = std::ranges::lower_bound(aRequests, aRange.stored.first);
-  const auto end = std::ranges::upper_bound(aRequests, aRange.stored.last);
+  const auto begin = std::ranges::lower_bound(aRequests, aRange.assigned.first);
+  const auto end = std::ranges::upper_bound(aRequests, aRange.assigned.last);
   const auto count = end - begin;
   const double share =
     static_cast<double>(aRequests.size()) / static_cast<double>(aLoads.size());
   const int pieces = static_cast<double>(count) > share / 2 ? kPieces : 1;
-  Key first = aRange.stored.first;
+  Key first = aRange.assigned.first;
   for (int i = 1; i <= pieces; ++i) {
     const Key last = i == pieces
-                       ? aRange.stored.last
+                       ? aRange.assigned.last
                        : std::max(first, *(begin + count * i / pieces));
     auto least = std::ranges::min_element(
       aLoads, {}, [](const auto& aOne) { return aOne.second; });
     Reassign(aNext, first, last, least->first.holder);
     least->second +=
       (static_cast<double>(count) / pieces + 0.01) / least->first.capacity;
-    if (last == aRange.stored.last) {
+    if (last == aRange.assigned.last) {
       return;
     }
     first = static_cast<Key>(last + 1);
@@ -189,21 +189,21 @@
 bool Assigner::PlanJoins(Assignment& aNext)
 {
   const TimePoint now = this->hooks.now();
-  if (now < this->joinDue) {
+  if (now < this->mergeDue) {
     return false;
   }
-  this->joinDue = now + kJoinEvery;
-  const auto isSettled = [now](const Range& aRange) {
-    return aRange.granted && aRange.formers.empty() && !aRange.stopped &&
+  this->mergeDue = now + kJoinEvery;
+  const auto isSettled = [now](const RangeState& aRange) {
+    return aRange.granted && aRange.previousHolders.empty() && !aRange.renewalsStopped &&
            now - aRange.grantedAt >= kJoinRest;
   };
   std::size_t joins = 0;
   for (std::size_t i = 1; i < this->ranges.size() && joins < kMostJoins; ++i) {
-    const Range& left = this->ranges[i - 1];
-    const Range& right = this->ranges[i];
-    if (left.stored.holder == right.stored.holder && isSettled(left) &&
+    const RangeState& left = this->ranges[i - 1];
+    const RangeState& right = this->ranges[i];
+    if (left.assigned.holder == right.assigned.holder && isSettled(left) &&
         isSettled(right)) {
-      Reassign(aNext, left.stored.first, right.stored.last, left.stored.holder);
+      Reassign(aNext, left.assigned.first, right.assigned.last, left.assigned.holder);
       ++joins;
       // It is another range now.
       ++i;
@@ -221,15 +221,15 @@
   }
   this->balanceDue = now + kPlanEvery;
   BalanceInput question;
-  for (const Range& range : this->ranges) {
+  for (const RangeState& range : this->ranges) {
     // One change at a time for any key.
-    if (range.granted && range.formers.empty() && !range.stopped &&
+    if (range.granted && range.previousHolders.empty() && !range.renewalsStopped &&
         now - range.grantedAt >= kRest) {
-      question.ranges.push_back(range.stored);
+      question.ranges.push_back(range.assigned);
     }
   }
   for (const OwnerCandidate& owner : aOwners) {
-    if (owner.mayOwn && !this->IsTroubled(owner.holder.upstream)) {
+    if (owner.mayOwn && !this->IsBackedOff(owner.holder.upstream)) {
       question.holders.push_back({ owner.holder, owner.capacity, !owner.cold });
     }
   }
