--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -237,54 +237,54 @@
   bool IsAssignerHeardWithin(Duration aSilence) const;
   int RankAmongHosts() const;
   // How long this host lets others go before it claims.
-  Duration OthersTurn() const;
+  Duration ClaimDelay() const;
   // Whether more upstreams may be about to show before any keys are dealt.
-  bool IsTooEarlyToDeal(const AssignmentRows& aStored);
+  bool IsTooEarlyToAssign(const AssignmentRows& aStored);
   // When this host deals keys for the first time, whatever it knows.
-  TimePoint LatestDeal() const;
+  TimePoint FirstAssignmentDeadline() const;
   // Whether the claim's host may live and has just not been heard as the
   // assigner yet. Said once of each.
-  bool IsToBeMet(const state::HostRef& aClaimant);
-  void Claim(const AssignmentRows& aStored);
-  void StartHolding(const AssignmentRows& aStored);
+  bool ShouldWaitForClaimant(const state::HostRef& aClaimant);
+  void WriteClaim(const AssignmentRows& aStored);
+  void BecomeAssigner(const AssignmentRows& aStored);
   void StepDown(std::string_view aWhy);
-  void Confirm();
-  void CheckForeign();
-  bool MayRenew() const;
+  void CheckClaim();
+  void CheckOtherAssigners();
+  bool MayRenewLeases() const;
   // Hosts that go by this one's map, itself included, and all that were heard
   // within the last minute.
-  std::pair<std::size_t, std::size_t> Followers() const;
-  void Reload();
+  std::pair<std::size_t, std::size_t> CountFollowers() const;
+  void ReloadAssignment();
 
-  void Apply(const Assignment& aAssignment, state::Version aVersion);
-  RangeState MakeRange(const AssignedRange& aStored, const std::vector<RangeState>& aOld);
-  TimePoint LapseOf(TimePoint aOwn, bool aForeign) const;
-  TimePoint LapseFromNow() const;
+  void ApplyAssignment(const Assignment& aAssignment, state::Version aVersion);
+  RangeState MakeRangeState(const AssignedRange& aStored, const std::vector<RangeState>& aOld);
+  TimePoint LeaseExpiry(TimePoint aOwn, bool aForeign) const;
+  TimePoint LeaseExpiryFromNow() const;
 
-  void Drive();
-  void DriveFormers(std::size_t aIndex);
-  void Release(std::size_t aIndex, std::size_t aFormer);
-  void Grant(std::size_t aIndex);
-  void OnGranted(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply);
+  void AdvanceRanges();
+  void ReleasePreviousHolders(std::size_t aIndex);
+  void SendRelease(std::size_t aIndex, std::size_t aFormer);
+  void SendGrant(std::size_t aIndex);
+  void OnGrantReply(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply);
   RangeState* FindRange(Key aFirst, FencingToken aFence);
 
-  void Plan();
-  bool PlanLosses(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
+  void PlanChanges();
+  bool PlanReplacements(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
   bool PlanBalance(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
-  bool PlanJoins(Assignment& aNext);
-  void GiveAway(Assignment& aNext, const RangeState& aRange,
+  bool PlanMerges(Assignment& aNext);
+  void ReassignRange(Assignment& aNext, const RangeState& aRange,
                 const std::vector<Key>& aRequests,
                 std::vector<std::pair<OwnerCandidate, double>>& aLoads);
-  const OwnerCandidate* FindOwner(const std::vector<OwnerCandidate>& aOwners,
+  const OwnerCandidate* FindCandidate(const std::vector<OwnerCandidate>& aOwners,
                              const Holder& aHolder) const;
   bool IsBackedOff(const state::UpstreamId& aId) const;
   void StartBackoff(const state::UpstreamId& aId);
   // It has been given keys and has not answered yet.
-  bool IsAwaited(const Holder& aHolder) const;
+  bool HasUngrantedRange(const Holder& aHolder) const;
   // Those of the last aWindow.
   std::vector<Key> SortedRequests(Duration aWindow) const;
-  void Write(const Assignment& aNext);
-  void Publish();
+  void WriteAssignment(const Assignment& aNext);
+  void PublishMap();
 
   const Options options;
   const Hooks hooks;
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -115,7 +115,7 @@
   return map;
 }
 
-void Assigner::Publish()
+void Assigner::PublishMap()
 {
   ++this->revision;
   this->hooks.publish();
@@ -133,12 +133,12 @@
   this->candidates = this->hooks.candidates();
   const TimePoint now = this->hooks.now();
   if (now >= this->claimCheckDue && !this->claimCheckPending && !this->writePending) {
-    this->Confirm();
+    this->CheckClaim();
   }
-  this->CheckForeign();
-  this->Drive();
+  this->CheckOtherAssigners();
+  this->AdvanceRanges();
   if (this->phase == Phase::kActive && now >= this->planDue) {
-    this->Plan();
+    this->PlanChanges();
   }
 }
 
@@ -183,10 +183,10 @@
 {
   // The rank costs a look at all hosts, and mostly need not be known.
   return this->IsAssignerHeardWithin(kSilence) ||
-         this->IsAssignerHeardWithin(kSilence + this->OthersTurn());
+         this->IsAssignerHeardWithin(kSilence + this->ClaimDelay());
 }
 
-Duration Assigner::OthersTurn() const
+Duration Assigner::ClaimDelay() const
 {
   const Duration delay =
     this->hooks.claimDelay ? this->hooks.claimDelay() : Duration(0);
@@ -213,15 +213,15 @@
 // Failure: hosts and upstreams start together, and the first claimant knew 31
 // of 137 upstreams, once one of 14. The others were filled by halves of what
 // those had, and the first seconds of traffic were spent on moves.
-bool Assigner::IsTooEarlyToDeal(const AssignmentRows& aStored)
+bool Assigner::IsTooEarlyToAssign(const AssignmentRows& aStored)
 {
   const std::size_t before =
     std::exchange(this->candidatesSeen, this->candidates.size());
   return aStored.assignmentVersion == 0 && before != this->candidates.size() &&
-         this->hooks.now() < this->LatestDeal();
+         this->hooks.now() < this->FirstAssignmentDeadline();
 }
 
-TimePoint Assigner::LatestDeal() const
+TimePoint Assigner::FirstAssignmentDeadline() const
 {
   return this->startedAt + kFirstDeal + kRankStep * this->RankAmongHosts();
 }
@@ -229,7 +229,7 @@
 // Failure: a host has just claimed, and those that looked before its first
 // digest came claimed after it, four within 200 ms. One that was heard as the
 // assigner and is silent now, or that runs anew, need not be waited for.
-bool Assigner::IsToBeMet(const state::HostRef& aClaimant)
+bool Assigner::ShouldWaitForClaimant(const state::HostRef& aClaimant)
 {
   const bool isKnown =
     aClaimant.host.value.empty() || aClaimant.host == this->options.self.host ||
@@ -253,7 +253,7 @@
 {
   const TimePoint now = this->hooks.now();
   if (now < this->claimNotBefore || this->IsAssignerHeardWithin(kSilence) ||
-      now - this->startedAt < kStartPause + this->OthersTurn() ||
+      now - this->startedAt < kStartPause + this->ClaimDelay() ||
       this->IsAssignerHeard()) {
     return;
   }
@@ -271,23 +271,23 @@
       this->claimNotBefore = this->hooks.now() + kClaimPause;
       return;
     }
-    if (this->IsTooEarlyToDeal(*aStored)) {
+    if (this->IsTooEarlyToAssign(*aStored)) {
       this->phase = Phase::kIdle;
       // The last look is right at its time, or the rank would not tell.
       this->claimNotBefore =
-        std::min(this->hooks.now() + kClaimPause, this->LatestDeal());
+        std::min(this->hooks.now() + kClaimPause, this->FirstAssignmentDeadline());
       return;
     }
-    if (this->IsToBeMet(aStored->assigner)) {
+    if (this->ShouldWaitForClaimant(aStored->assigner)) {
       this->phase = Phase::kIdle;
       this->claimNotBefore = this->hooks.now() + kSilence;
       return;
     }
-    this->Claim(*aStored);
+    this->WriteClaim(*aStored);
   });
 }
 
-void Assigner::Claim(const AssignmentRows& aStored)
+void Assigner::WriteClaim(const AssignmentRows& aStored)
 {
   AssignmentWrite write;
   write.expected = aStored;
@@ -320,12 +320,12 @@
       now.claimVersion = aVersion;
       now.assignmentVersion = aVersion;
       now.assignmentText = write.assignmentText;
-      this->StartHolding(now);
+      this->BecomeAssigner(now);
     });
 }
 
 // aStored names the assigner before.
-void Assigner::StartHolding(const AssignmentRows& aStored)
+void Assigner::BecomeAssigner(const AssignmentRows& aStored)
 {
   const TimePoint now = this->hooks.now();
   const auto parsed = ParseAssignment(aStored.assignmentText);
@@ -340,7 +340,7 @@
   this->rows.assigner = this->options.self;
   this->claimConfirmedAt = now;
   this->claimCheckDue = now + kConfirmEvery;
-  this->planDue = now + kPlanEvery;
+  this->planDue = now + kPlanInterval;
   this->ranges.clear();
   this->recentRequests.clear();
   this->backoffs.clear();
@@ -365,8 +365,8 @@
     this->ranges.push_back(std::move(range));
   }
   this->hooks.log("assigner-won", "after " + aStored.assigner.host.value);
-  this->Publish();
-  this->Drive();
+  this->PublishMap();
+  this->AdvanceRanges();
 }
 
 void Assigner::StepDown(std::string_view aWhy)
@@ -377,7 +377,7 @@
   this->claimNotBefore = this->hooks.now() + kClaimPause;
 }
 
-void Assigner::Confirm()
+void Assigner::CheckClaim()
 {
   this->claimCheckPending = true;
   const TimePoint asked = this->hooks.now();
@@ -397,7 +397,7 @@
   });
 }
 
-std::pair<std::size_t, std::size_t> Assigner::Followers() const
+std::pair<std::size_t, std::size_t> Assigner::CountFollowers() const
 {
   const TimePoint now = this->hooks.now();
   std::size_t followers = 1;
@@ -413,12 +413,12 @@
   return { followers, known };
 }
 
-bool Assigner::MayRenew() const
+bool Assigner::MayRenewLeases() const
 {
   if (this->hooks.now() - this->claimConfirmedAt <= kConfirmed) {
     return true;
   }
-  const auto [followers, known] = this->Followers();
+  const auto [followers, known] = this->CountFollowers();
   return followers * 3 >= known * 2;
 }
 
@@ -426,7 +426,7 @@
 // confirmation nor enough hosts behind them; from then on only what they sent
 // before counts. A host never goes back to an older map, so what it said of one
 // was said before it took this one.
-void Assigner::CheckForeign()
+void Assigner::CheckOtherAssigners()
 {
   for (const PeerStatus& peer : this->hooks.peers()) {
     // A map of a later version comes from an assigner that has claimed since.
@@ -436,11 +436,11 @@
       return;
     }
   }
-  const auto [followers, known] = this->Followers();
+  const auto [followers, known] = this->CountFollowers();
   if (this->predecessorsMayRenew && followers * 2 > known) {
     const TimePoint now = this->hooks.now();
     const TimePoint stops = std::max(this->claimedAt + kConfirmed, now + kSaid);
-    this->predecessorLeasesExpireAt = this->LapseFromNow() + (stops - now);
+    this->predecessorLeasesExpireAt = this->LeaseExpiryFromNow() + (stops - now);
     this->predecessorsMayRenew = false;
   }
 }
--- a/src/ownership/internal/assignerorders.cpp
+++ b/src/ownership/internal/assignerorders.cpp
@@ -36,7 +36,7 @@
 
 // --- what is stored
 
-void Assigner::Write(const Assignment& aNext)
+void Assigner::WriteAssignment(const Assignment& aNext)
 {
   this->writePending = true;
   AssignmentWrite write;
@@ -49,17 +49,17 @@
       return;
     }
     if (aOutcome != WriteOutcome::kWritten) {
-      this->Reload();
+      this->ReloadAssignment();
       return;
     }
     this->writePending = false;
     this->claimConfirmedAt = std::max(this->claimConfirmedAt, asked);
-    this->Apply(aNext, aVersion);
+    this->ApplyAssignment(aNext, aVersion);
   });
 }
 
 // A write failed or nobody knows: what the store has now is what holds.
-void Assigner::Reload()
+void Assigner::ReloadAssignment()
 {
   const TimePoint asked = this->hooks.now();
   this->hooks.read([this, asked](Result<AssignmentRows> aStored) {
@@ -69,7 +69,7 @@
     }
     if (!aStored) {
       // Renewals go on; the plan tries again.
-      this->planDue = this->hooks.now() + kPlanEvery;
+      this->planDue = this->hooks.now() + kPlanInterval;
       std::ranges::for_each(this->ranges,
                             [](RangeState& aRange) { aRange.renewalsStopped = false; });
       return;
@@ -82,7 +82,7 @@
     const auto parsed = ParseAssignment(aStored->assignmentText);
     if (parsed &&
         aStored->assignmentVersion != this->rows.assignmentVersion) {
-      this->Apply(*parsed, aStored->assignmentVersion);
+      this->ApplyAssignment(*parsed, aStored->assignmentVersion);
     } else {
       std::ranges::for_each(this->ranges,
                             [](RangeState& aRange) { aRange.renewalsStopped = false; });
@@ -90,7 +90,7 @@
   });
 }
 
-TimePoint Assigner::LapseFromNow() const
+TimePoint Assigner::LeaseExpiryFromNow() const
 {
   const std::chrono::duration<double, std::milli> slow =
     this->leaseDuration * kSlowClock;
@@ -98,26 +98,26 @@
          kOnItsWay;
 }
 
-TimePoint Assigner::LapseOf(TimePoint aOwn, bool aForeign) const
+TimePoint Assigner::LeaseExpiry(TimePoint aOwn, bool aForeign) const
 {
   return aForeign ? std::max(aOwn, this->predecessorLeasesExpireAt) : aOwn;
 }
 
-void Assigner::Apply(const Assignment& aAssignment, state::Version aVersion)
+void Assigner::ApplyAssignment(const Assignment& aAssignment, state::Version aVersion)
 {
   std::vector<RangeState> old = std::move(this->ranges);
   this->ranges.clear();
   this->assignment = aAssignment;
   this->rows.assignmentVersion = aVersion;
   for (const AssignedRange& one : aAssignment.ranges) {
-    this->ranges.push_back(this->MakeRange(one, old));
+    this->ranges.push_back(this->MakeRangeState(one, old));
   }
   this->revision = 0;
-  this->Publish();
-  this->Drive();
+  this->PublishMap();
+  this->AdvanceRanges();
 }
 
-Assigner::RangeState Assigner::MakeRange(const AssignedRange& aStored,
+Assigner::RangeState Assigner::MakeRangeState(const AssignedRange& aStored,
                                     const std::vector<RangeState>& aOld)
 {
   const TimePoint now = this->hooks.now();
@@ -161,30 +161,30 @@
 
 // --- orders
 
-void Assigner::Drive()
+void Assigner::AdvanceRanges()
 {
   const TimePoint now = this->hooks.now();
   for (std::size_t i = 0;
        this->phase == Phase::kActive && i < this->ranges.size(); ++i) {
     RangeState& range = this->ranges[i];
     if (!range.previousHolders.empty()) {
-      this->DriveFormers(i);
+      this->ReleasePreviousHolders(i);
     }
     // A holder whose renewals fail refuses the keys from now on; callers are
     // told so at once rather than by it.
-    if (range.granted && this->LapseOf(range.leaseExpiresAt, range.maybeRenewedByPredecessor) <= now) {
+    if (range.granted && this->LeaseExpiry(range.leaseExpiresAt, range.maybeRenewedByPredecessor) <= now) {
       range.granted = false;
       this->hooks.log("keys-lapsed", Describe(range.assigned));
-      this->Publish();
+      this->PublishMap();
     }
     if (range.previousHolders.empty() && !range.commandPending && !range.renewalsStopped &&
         now >= range.nextGrantAt) {
-      this->Grant(i);
+      this->SendGrant(i);
     }
   }
 }
 
-void Assigner::DriveFormers(std::size_t aIndex)
+void Assigner::ReleasePreviousHolders(std::size_t aIndex)
 {
   const TimePoint now = this->hooks.now();
   RangeState& range = this->ranges[aIndex];
@@ -196,16 +196,16 @@
     // A new life holds nothing of the one before.
     const bool reborn =
       owner != this->candidates.end() && owner->holder.startedMs > aFormer.holder.startedMs;
-    return reborn || this->LapseOf(aFormer.leaseExpiresAt, aFormer.maybeRenewedByPredecessor) <= now;
+    return reborn || this->LeaseExpiry(aFormer.leaseExpiresAt, aFormer.maybeRenewedByPredecessor) <= now;
   });
   for (std::size_t i = 0; i < range.previousHolders.size(); ++i) {
     if (!range.previousHolders[i].commandPending && range.previousHolders[i].retryAt <= now) {
-      this->Release(aIndex, i);
+      this->SendRelease(aIndex, i);
     }
   }
 }
 
-void Assigner::Release(std::size_t aIndex, std::size_t aFormer)
+void Assigner::SendRelease(std::size_t aIndex, std::size_t aFormer)
 {
   RangeState& range = this->ranges[aIndex];
   PreviousHolder& former = range.previousHolders[aFormer];
@@ -242,12 +242,12 @@
         aReply.result == LeaseCommandResult::kOtherUpstream) {
       found->previousHolders.erase(asked);
       found->handover = aReply.handover;
-      this->Drive();
+      this->AdvanceRanges();
     }
   });
 }
 
-void Assigner::Grant(std::size_t aIndex)
+void Assigner::SendGrant(std::size_t aIndex)
 {
   RangeState& range = this->ranges[aIndex];
   const TimePoint now = this->hooks.now();
@@ -255,11 +255,11 @@
     std::ranges::find_if(this->candidates, [&range](const OwnerCandidate& aOwner) {
       return aOwner.holder == range.assigned.holder;
     });
-  if (owner == this->candidates.end() || !this->MayRenew()) {
+  if (owner == this->candidates.end() || !this->MayRenewLeases()) {
     return;
   }
   range.commandPending = true;
-  range.leaseExpiresAt = std::max(range.leaseExpiresAt, this->LapseFromNow());
+  range.leaseExpiresAt = std::max(range.leaseExpiresAt, this->LeaseExpiryFromNow());
   range.nextGrantAt = now + this->leaseDuration / kRenewalsInHold;
   LeaseCommand order;
   order.upstream = range.assigned.holder.upstream;
@@ -272,7 +272,7 @@
   this->hooks.sendCommand(order,
                     [this, first = range.assigned.first,
                      fence = range.assigned.fencingToken](const LeaseCommandReply& aReply) {
-                      this->OnGranted(first, fence, aReply);
+                      this->OnGrantReply(first, fence, aReply);
                     });
 }
 
@@ -288,7 +288,7 @@
   return found == this->ranges.end() ? nullptr : &*found;
 }
 
-void Assigner::OnGranted(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply)
+void Assigner::OnGrantReply(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply)
 {
   RangeState* range = this->FindRange(aFirst, aFence);
   if (range == nullptr) {
@@ -305,7 +305,7 @@
       range->granted = true;
       range->grantedAt = now;
       this->hooks.log("keys-granted", Describe(range->assigned));
-      this->Publish();
+      this->PublishMap();
     }
     return;
   }
@@ -322,7 +322,7 @@
   if (surely || silent) {
     this->StartBackoff(range->assigned.holder.upstream);
     this->planDue = now;
-    this->Plan();
+    this->PlanChanges();
   }
 }
 
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -56,14 +56,14 @@
   trouble.until = now + trouble.duration;
 }
 
-bool Assigner::IsAwaited(const Holder& aHolder) const
+bool Assigner::HasUngrantedRange(const Holder& aHolder) const
 {
   return std::ranges::any_of(this->ranges, [&aHolder](const RangeState& aRange) {
     return aRange.assigned.holder == aHolder && !aRange.granted;
   });
 }
 
-const OwnerCandidate* Assigner::FindOwner(const std::vector<OwnerCandidate>& aOwners,
+const OwnerCandidate* Assigner::FindCandidate(const std::vector<OwnerCandidate>& aOwners,
                                      const Holder& aHolder) const
 {
   const auto found =
@@ -88,14 +88,14 @@
   return keys;
 }
 
-void Assigner::Plan()
+void Assigner::PlanChanges()
 {
   const TimePoint now = this->hooks.now();
   if (this->writePending || this->phase != Phase::kActive || !this->storeAvailable ||
       this->leaving) {
     return;
   }
-  this->planDue = now + kPlanEvery;
+  this->planDue = now + kPlanInterval;
   Assignment next = this->assignment;
   // What is over need not be waited for by a successor.
   for (std::size_t i = 0; i < this->ranges.size(); ++i) {
@@ -103,14 +103,14 @@
       next.ranges[i].previousHolders.clear();
     }
   }
-  if (this->PlanLosses(next, this->candidates) ||
-      this->PlanBalance(next, this->candidates) || this->PlanJoins(next)) {
-    this->Write(next);
+  if (this->PlanReplacements(next, this->candidates) ||
+      this->PlanBalance(next, this->candidates) || this->PlanMerges(next)) {
+    this->WriteAssignment(next);
   }
 }
 
 // Keys whose holder may not or does not serve them.
-bool Assigner::PlanLosses(Assignment& aNext,
+bool Assigner::PlanReplacements(Assignment& aNext,
                           const std::vector<OwnerCandidate>& aOwners)
 {
   std::vector<std::pair<OwnerCandidate, double>> loads;
@@ -145,8 +145,8 @@
   }
   bool changed = false;
   for (RangeState& range : this->ranges) {
-    if (this->FindOwner(aOwners, range.assigned.holder) == nullptr) {
-      this->GiveAway(aNext, range, keys, loads);
+    if (this->FindCandidate(aOwners, range.assigned.holder) == nullptr) {
+      this->ReassignRange(aNext, range, keys, loads);
       // No renewal may lengthen a hold that has to be waited out; one that can
       // be released is renewed until the change is stored.
       range.renewalsStopped = this->IsBackedOff(range.assigned.holder.upstream);
@@ -157,7 +157,7 @@
 }
 
 // In pieces, so that one lost upstream's requests do not drown another.
-void Assigner::GiveAway(Assignment& aNext, const RangeState& aRange,
+void Assigner::ReassignRange(Assignment& aNext, const RangeState& aRange,
                         const std::vector<Key>& aRequests,
                         std::vector<std::pair<OwnerCandidate, double>>& aLoads)
 {
@@ -186,7 +186,7 @@
 }
 
 // The joined range gets a token above both, its holder goes on serving it.
-bool Assigner::PlanJoins(Assignment& aNext)
+bool Assigner::PlanMerges(Assignment& aNext)
 {
   const TimePoint now = this->hooks.now();
   if (now < this->mergeDue) {
@@ -219,7 +219,7 @@
   if (now < this->balanceDue) {
     return false;
   }
-  this->balanceDue = now + kPlanEvery;
+  this->balanceDue = now + kPlanInterval;
   BalanceInput question;
   for (const RangeState& range : this->ranges) {
     // One change at a time for any key.
--- a/src/ownership/internal/assignertiming.h
+++ b/src/ownership/internal/assignertiming.h
@@ -6,7 +6,7 @@
 
 namespace kumquat::ownership {
 
-inline constexpr std::chrono::milliseconds kPlanEvery{ 400 };
+inline constexpr std::chrono::milliseconds kPlanInterval{ 400 };
 // Requests of so long are weighed; some 300 at 130 a second.
 inline constexpr std::chrono::milliseconds kRequestWindow{ 2500 };
 
