--- a/src/ownership/tests/assigner_test.cpp
+++ b/src/ownership/tests/assigner_test.cpp
@@ -1,6 +1,6 @@
 // Who holds which keys while assigners, upstreams and the store fail.
 
-#include "ownership/tests/keysworld.h"
+#include "ownership/tests/assignmentsimulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -30,7 +30,7 @@
 public:
   void testAllKeysAreHeldSoonAfterTheStart()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     CPPUNIT_ASSERT(
       world.RunUntil([&] { return world.AllHeld(); }, milliseconds(6000)));
     CPPUNIT_ASSERT(!world.AssignerName().empty());
@@ -42,7 +42,7 @@
   // before they had heard of each other.
   void testOneHostDealsTheKeys()
   {
-    KeysWorld world(12, 2);
+    AssignmentSimulation world(12, 2);
     world.digestPause = milliseconds(300);
     for (int i = 2; i < 17; ++i) {
       world.AddUpstream("u" + std::to_string(i), 1);
@@ -61,7 +61,7 @@
   // and served elsewhere within moments, not after its hold has run out.
   void testLeavingUpstreamIsReleased()
   {
-    KeysWorld world(5, 4);
+    AssignmentSimulation world(5, 4);
     Settle(world);
     world.Upstream("u1").mayOwn = false;
     const bool moved = world.RunUntil(
@@ -77,7 +77,7 @@
   // may have them before; after that they are served again.
   void testSilentUpstreamIsWaitedOut()
   {
-    KeysWorld world(5, 4);
+    AssignmentSimulation world(5, 4);
     Settle(world);
     world.Upstream("u1").silent = true;
     const bool back = world.RunUntil(
@@ -94,7 +94,7 @@
   // holds nothing, and its keys need not wait for the hold of the old one.
   void testRebornUpstreamNeedNotBeWaitedOut()
   {
-    KeysWorld world(5, 4);
+    AssignmentSimulation world(5, 4);
     Settle(world);
     world.AddUpstream("u1", 2);
     CPPUNIT_ASSERT(
@@ -106,7 +106,7 @@
   // out, and goes on with what it finds: no caller notices.
   void testKilledAssignerCostsNoHold()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     Settle(world);
     const std::string before = world.AssignerName();
     world.KillHost(before);
@@ -125,7 +125,7 @@
   // unserved for 15 s.
   void testAssignerAndUpstreamLostTogether()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     Settle(world);
     world.KillHost(world.AssignerName());
     world.Upstream("u3").silent = true;
@@ -140,7 +140,7 @@
   // change anything, and every upstream keeps what it has.
   void testStoreOutageCostsNoHold()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     Settle(world);
     world.storeDown = true;
     for (int i = 0; i < 300; ++i) {
@@ -157,7 +157,7 @@
   // the first word of its stop, lookups were refused for four seconds.
   void testPlannedStopInAnOutageKeepsTheKeys()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     Settle(world);
     const std::string old = world.AssignerName();
     world.storeDown = true;
@@ -182,7 +182,7 @@
   // answer it; the old one must have stopped renewing that upstream's hold.
   void testAssignerTurnedAwayAndCutOffStops()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     Settle(world);
     const std::string old = world.AssignerName();
     world.turnedAway.insert(old);
@@ -198,7 +198,7 @@
   // not bring a key back.
   void testThawedAssignerChangesNothing()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     Settle(world);
     const std::string old = world.AssignerName();
     world.Freeze(old);
@@ -220,7 +220,7 @@
   // upstream, within reach again, served keys that others had by then.
   void testWokenAssignerTakesNoOldWordForFresh()
   {
-    KeysWorld world(12, 14);
+    AssignmentSimulation world(12, 14);
     Settle(world);
     const std::string old = world.AssignerName();
     // Its peers' digests have been sent and not arrived.
@@ -243,7 +243,7 @@
   // then, so the late grant is refused.
   void testLateGrantIsFencedOff()
   {
-    KeysWorld world(5, 4);
+    AssignmentSimulation world(5, 4);
     Settle(world);
     world.Upstream("u1").late = milliseconds(5000);
     world.RunFor(milliseconds(20'000));
@@ -257,7 +257,7 @@
   // answered, while upstreams leave and return. What was written is read back.
   void testLostAnswersOfTheStore()
   {
-    KeysWorld world(5, 6);
+    AssignmentSimulation world(5, 6);
     Settle(world);
     world.lostAnswers = 35;
     for (int i = 0; i < 12; ++i) {
@@ -277,7 +277,7 @@
   // takes those keys out of service until the hold has run out.
   void testSilentUpstreamIsTriedRarely()
   {
-    KeysWorld world(5, 6);
+    AssignmentSimulation world(5, 6);
     Settle(world);
     world.Upstream("u1").silent = true;
     world.RunFor(milliseconds(8000));
@@ -298,7 +298,7 @@
   {
     constexpr unsigned kSeeds = 40;
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-      KeysWorld world(7, 6, seed);
+      AssignmentSimulation world(7, 6, seed);
       Settle(world);
       std::mt19937 random(seed);
       for (int i = 0; i < 60; ++i) {
@@ -315,7 +315,7 @@
   }
 
 private:
-  static void Settle(KeysWorld& aWorld)
+  static void Settle(AssignmentSimulation& aWorld)
   {
     CPPUNIT_ASSERT(
       aWorld.RunUntil([&] { return aWorld.AllHeld(); }, milliseconds(8000)));
@@ -328,7 +328,7 @@
     return aNames[aRandom() % aNames.size()];
   }
 
-  static void Trouble(KeysWorld& aWorld, std::mt19937& aRandom)
+  static void Trouble(AssignmentSimulation& aWorld, std::mt19937& aRandom)
   {
     const std::string host = Pick(aWorld.Hosts(), aRandom);
     const std::string assigner = aWorld.AssignerName();
@@ -389,7 +389,7 @@
     }
   }
 
-  static void Calm(KeysWorld& aWorld)
+  static void Calm(AssignmentSimulation& aWorld)
   {
     aWorld.storeDown = false;
     aWorld.lostAnswers = 0;
--- a/src/ownership/tests/keysworld.h
+++ b/src/ownership/tests/assignmentsimulation.h
@@ -52,10 +52,10 @@
   int releases = 0;
 };
 
-class KeysWorld
+class AssignmentSimulation
 {
 public:
-  explicit KeysWorld(int aHosts, int aUpstreams, unsigned aSeed = 1)
+  explicit AssignmentSimulation(int aHosts, int aUpstreams, unsigned aSeed = 1)
     : random(aSeed)
   {
     for (int i = 0; i < aUpstreams; ++i) {
