--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -102,7 +102,8 @@
     std::move(own));
 }
 
-std::vector<ownership::OwnerCandidate> Keys::OwnersOf(const ServiceName& aService)
+std::vector<ownership::OwnerCandidate> Keys::OwnersOf(
+  const ServiceName& aService)
 {
   const TimePoint now = this->hooks.now();
   const std::vector<routing::UpstreamState*>& all =
@@ -176,7 +177,8 @@
   if (part.map.CurrentVersion() != part.ownMark) {
     part.toldMark = {};
   }
-  if (part.map.ReplaceIfNewer(mark, part.assigner->CurrentMap(), this->hooks.now())) {
+  if (part.map.ReplaceIfNewer(mark, part.assigner->CurrentMap(),
+                              this->hooks.now())) {
     part.ownMark = mark;
     this->hooks.publish();
     this->hooks.changed();
@@ -189,10 +191,12 @@
   std::vector<protocol::KeyMapUpdate> updates;
   for (auto& [service, part] : this->parts) {
     if (std::exchange(part.isStoredUntold, false)) {
-      updates.push_back(ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
+      updates.push_back(
+        ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
     }
     // Nothing new, or the map is another host's by now.
-    if (part.ownMark == part.toldMark || part.map.CurrentVersion() != part.ownMark) {
+    if (part.ownMark == part.toldMark ||
+        part.map.CurrentVersion() != part.ownMark) {
       continue;
     }
     const bool isWhole = part.toldMark.assignmentVersion == 0;
@@ -301,7 +305,7 @@
   const TimePoint now = this->hooks.now();
   const bool isNew = aUpdate.__isset.base
                        ? part.map.ApplyChanges(FromWire(aUpdate.base), mark,
-                                             RangesOf(aUpdate), now)
+                                               RangesOf(aUpdate), now)
                        : part.map.ReplaceIfNewer(mark, RangesOf(aUpdate), now);
   if (isNew) {
     this->hooks.changed();
@@ -399,7 +403,8 @@
     if (this->HasMissed(part, service, aPeer)) {
       updates.push_back(ToWire(service, part.toldMark, part.told));
     } else if (this->HasNoMap(part, service, aPeer)) {
-      updates.push_back(ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
+      updates.push_back(
+        ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
     } else {
       continue;
     }
--- a/src/node/internal/keysduty.h
+++ b/src/node/internal/keysduty.h
@@ -31,7 +31,8 @@
       read;
     std::function<void(const state::RowsWrite&, state::RowStore::WriteDone)>
       write;
-    std::function<void(const ownership::LeaseCommand&, ownership::Assigner::CommandDone)>
+    std::function<void(const ownership::LeaseCommand&,
+                       ownership::Assigner::CommandDone)>
       order;
     // Of Assigner::Hooks.
     std::function<double(const state::HostId&)> preference;
--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -190,7 +190,10 @@
   MapVersion CurrentMapVersion() const;
   std::vector<MapRange> CurrentMap() const;
 
-  std::chrono::milliseconds LeaseDuration() const { return this->leaseDuration; }
+  std::chrono::milliseconds LeaseDuration() const
+  {
+    return this->leaseDuration;
+  }
 
 private:
   enum class Phase
@@ -257,7 +260,8 @@
   void ReloadAssignment();
 
   void ApplyAssignment(const Assignment& aAssignment, state::Version aVersion);
-  RangeState MakeRangeState(const AssignedRange& aStored, const std::vector<RangeState>& aOld);
+  RangeState MakeRangeState(const AssignedRange& aStored,
+                            const std::vector<RangeState>& aOld);
   TimePoint LeaseExpiry(TimePoint aOwn, bool aForeign) const;
   TimePoint LeaseExpiryFromNow() const;
 
@@ -265,18 +269,21 @@
   void ReleasePreviousHolders(std::size_t aIndex);
   void SendRelease(std::size_t aIndex, std::size_t aFormer);
   void SendGrant(std::size_t aIndex);
-  void OnGrantReply(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply);
+  void OnGrantReply(Key aFirst, FencingToken aFence,
+                    const LeaseCommandReply& aReply);
   RangeState* FindRange(Key aFirst, FencingToken aFence);
 
   void PlanChanges();
-  bool PlanReplacements(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
-  bool PlanBalance(Assignment& aNext, const std::vector<OwnerCandidate>& aOwners);
+  bool PlanReplacements(Assignment& aNext,
+                        const std::vector<OwnerCandidate>& aOwners);
+  bool PlanBalance(Assignment& aNext,
+                   const std::vector<OwnerCandidate>& aOwners);
   bool PlanMerges(Assignment& aNext);
   void ReassignRange(Assignment& aNext, const RangeState& aRange,
-                const std::vector<Key>& aRequests,
-                std::vector<std::pair<OwnerCandidate, double>>& aLoads);
-  const OwnerCandidate* FindCandidate(const std::vector<OwnerCandidate>& aOwners,
-                             const Holder& aHolder) const;
+                     const std::vector<Key>& aRequests,
+                     std::vector<std::pair<OwnerCandidate, double>>& aLoads);
+  const OwnerCandidate* FindCandidate(
+    const std::vector<OwnerCandidate>& aOwners, const Holder& aHolder) const;
   bool IsBackedOff(const state::UpstreamId& aId) const;
   void StartBackoff(const state::UpstreamId& aId);
   // It has been given keys and has not answered yet.
--- a/src/ownership/assignment.h
+++ b/src/ownership/assignment.h
@@ -55,7 +55,7 @@
 // there. All who may still hold the keys then stand as `previous`: the holder
 // until now, and those whom it was itself still waiting for.
 void Reassign(Assignment& aAssignment, Key aFirst, Key aLast,
-          const Holder& aHolder);
+              const Holder& aHolder);
 
 // The holders of a stored assignment, as a map to go by until an assigner is
 // heard: its mark is older than any that the assigner of that version gives.
@@ -65,6 +65,7 @@
   std::vector<MapRange> ranges;
 };
 
-StoredMap MapFromAssignment(const Assignment& aAssignment, state::Version aVersion);
+StoredMap MapFromAssignment(const Assignment& aAssignment,
+                            state::Version aVersion);
 
 } // namespace kumquat::ownership
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -132,7 +132,8 @@
   }
   this->candidates = this->hooks.candidates();
   const TimePoint now = this->hooks.now();
-  if (now >= this->claimCheckDue && !this->claimCheckPending && !this->writePending) {
+  if (now >= this->claimCheckDue && !this->claimCheckPending &&
+      !this->writePending) {
     this->CheckClaim();
   }
   this->CheckOtherAssigners();
@@ -175,7 +176,8 @@
   const TimePoint now = this->hooks.now();
   return std::ranges::any_of(this->hooks.peers(), [&](const PeerStatus& aPeer) {
     return aPeer.mapVersion.assigner == aPeer.host && !aPeer.leaving &&
-           aPeer.mapVersion.assignmentVersion > 0 && now - aPeer.lastHeardAt < aSilence;
+           aPeer.mapVersion.assignmentVersion > 0 &&
+           now - aPeer.lastHeardAt < aSilence;
   });
 }
 
@@ -274,8 +276,8 @@
     if (this->IsTooEarlyToAssign(*aStored)) {
       this->phase = Phase::kIdle;
       // The last look is right at its time, or the rank would not tell.
-      this->claimNotBefore =
-        std::min(this->hooks.now() + kClaimPause, this->FirstAssignmentDeadline());
+      this->claimNotBefore = std::min(this->hooks.now() + kClaimPause,
+                                      this->FirstAssignmentDeadline());
       return;
     }
     if (this->ShouldWaitForClaimant(aStored->assigner)) {
@@ -440,7 +442,8 @@
   if (this->predecessorsMayRenew && followers * 2 > known) {
     const TimePoint now = this->hooks.now();
     const TimePoint stops = std::max(this->claimedAt + kConfirmed, now + kSaid);
-    this->predecessorLeasesExpireAt = this->LeaseExpiryFromNow() + (stops - now);
+    this->predecessorLeasesExpireAt =
+      this->LeaseExpiryFromNow() + (stops - now);
     this->predecessorsMayRenew = false;
   }
 }
--- a/src/ownership/internal/assignerorders.cpp
+++ b/src/ownership/internal/assignerorders.cpp
@@ -70,8 +70,9 @@
     if (!aStored) {
       // Renewals go on; the plan tries again.
       this->planDue = this->hooks.now() + kPlanInterval;
-      std::ranges::for_each(this->ranges,
-                            [](RangeState& aRange) { aRange.renewalsStopped = false; });
+      std::ranges::for_each(this->ranges, [](RangeState& aRange) {
+        aRange.renewalsStopped = false;
+      });
       return;
     }
     if (aStored->claimVersion != this->rows.claimVersion) {
@@ -80,12 +81,12 @@
     }
     this->claimConfirmedAt = std::max(this->claimConfirmedAt, asked);
     const auto parsed = ParseAssignment(aStored->assignmentText);
-    if (parsed &&
-        aStored->assignmentVersion != this->rows.assignmentVersion) {
+    if (parsed && aStored->assignmentVersion != this->rows.assignmentVersion) {
       this->ApplyAssignment(*parsed, aStored->assignmentVersion);
     } else {
-      std::ranges::for_each(this->ranges,
-                            [](RangeState& aRange) { aRange.renewalsStopped = false; });
+      std::ranges::for_each(this->ranges, [](RangeState& aRange) {
+        aRange.renewalsStopped = false;
+      });
     }
   });
 }
@@ -103,7 +104,8 @@
   return aForeign ? std::max(aOwn, this->predecessorLeasesExpireAt) : aOwn;
 }
 
-void Assigner::ApplyAssignment(const Assignment& aAssignment, state::Version aVersion)
+void Assigner::ApplyAssignment(const Assignment& aAssignment,
+                               state::Version aVersion)
 {
   std::vector<RangeState> old = std::move(this->ranges);
   this->ranges.clear();
@@ -117,8 +119,8 @@
   this->AdvanceRanges();
 }
 
-Assigner::RangeState Assigner::MakeRangeState(const AssignedRange& aStored,
-                                    const std::vector<RangeState>& aOld)
+Assigner::RangeState Assigner::MakeRangeState(
+  const AssignedRange& aStored, const std::vector<RangeState>& aOld)
 {
   const TimePoint now = this->hooks.now();
   RangeState range;
@@ -128,7 +130,8 @@
   // higher token.
   bool stays = true;
   for (const RangeState& old : aOld) {
-    if (old.assigned.last < aStored.first || old.assigned.first > aStored.last) {
+    if (old.assigned.last < aStored.first ||
+        old.assigned.first > aStored.last) {
       continue;
     }
     if (old.assigned.fencingToken == aStored.fencingToken) {
@@ -143,16 +146,24 @@
     stays = stays && same && old.granted && old.previousHolders.empty();
     for (const PreviousHolder& former : old.previousHolders) {
       if (former.holder != aStored.holder) {
-        range.previousHolders.push_back(
-          { former.holder, former.leaseExpiresAt, former.maybeRenewedByPredecessor, false, {} });
+        range.previousHolders.push_back({ former.holder,
+                                          former.leaseExpiresAt,
+                                          former.maybeRenewedByPredecessor,
+                                          false,
+                                          {} });
       }
     }
     if (same) {
       range.leaseExpiresAt = std::max(range.leaseExpiresAt, old.leaseExpiresAt);
-      range.maybeRenewedByPredecessor = range.maybeRenewedByPredecessor || old.maybeRenewedByPredecessor;
-    } else if (old.leaseExpiresAt != TimePoint{} || old.maybeRenewedByPredecessor) {
-      range.previousHolders.push_back(
-        { old.assigned.holder, old.leaseExpiresAt, old.maybeRenewedByPredecessor, false, {} });
+      range.maybeRenewedByPredecessor =
+        range.maybeRenewedByPredecessor || old.maybeRenewedByPredecessor;
+    } else if (old.leaseExpiresAt != TimePoint{} ||
+               old.maybeRenewedByPredecessor) {
+      range.previousHolders.push_back({ old.assigned.holder,
+                                        old.leaseExpiresAt,
+                                        old.maybeRenewedByPredecessor,
+                                        false,
+                                        {} });
     }
   }
   range.granted = stays;
@@ -172,13 +183,15 @@
     }
     // A holder whose renewals fail refuses the keys from now on; callers are
     // told so at once rather than by it.
-    if (range.granted && this->LeaseExpiry(range.leaseExpiresAt, range.maybeRenewedByPredecessor) <= now) {
+    if (range.granted &&
+        this->LeaseExpiry(range.leaseExpiresAt,
+                          range.maybeRenewedByPredecessor) <= now) {
       range.granted = false;
       this->hooks.log("keys-lapsed", Describe(range.assigned));
       this->PublishMap();
     }
-    if (range.previousHolders.empty() && !range.commandPending && !range.renewalsStopped &&
-        now >= range.nextGrantAt) {
+    if (range.previousHolders.empty() && !range.commandPending &&
+        !range.renewalsStopped && now >= range.nextGrantAt) {
       this->SendGrant(i);
     }
   }
@@ -189,17 +202,20 @@
   const TimePoint now = this->hooks.now();
   RangeState& range = this->ranges[aIndex];
   std::erase_if(range.previousHolders, [&](const PreviousHolder& aFormer) {
-    const auto owner =
-      std::ranges::find_if(this->candidates, [&aFormer](const OwnerCandidate& aOwner) {
+    const auto owner = std::ranges::find_if(
+      this->candidates, [&aFormer](const OwnerCandidate& aOwner) {
         return aOwner.holder.upstream == aFormer.holder.upstream;
       });
     // A new life holds nothing of the one before.
-    const bool reborn =
-      owner != this->candidates.end() && owner->holder.startedMs > aFormer.holder.startedMs;
-    return reborn || this->LeaseExpiry(aFormer.leaseExpiresAt, aFormer.maybeRenewedByPredecessor) <= now;
+    const bool reborn = owner != this->candidates.end() &&
+                        owner->holder.startedMs > aFormer.holder.startedMs;
+    return reborn ||
+           this->LeaseExpiry(aFormer.leaseExpiresAt,
+                             aFormer.maybeRenewedByPredecessor) <= now;
   });
   for (std::size_t i = 0; i < range.previousHolders.size(); ++i) {
-    if (!range.previousHolders[i].commandPending && range.previousHolders[i].retryAt <= now) {
+    if (!range.previousHolders[i].commandPending &&
+        range.previousHolders[i].retryAt <= now) {
       this->SendRelease(aIndex, i);
     }
   }
@@ -209,8 +225,8 @@
 {
   RangeState& range = this->ranges[aIndex];
   PreviousHolder& former = range.previousHolders[aFormer];
-  const auto owner =
-    std::ranges::find_if(this->candidates, [&former](const OwnerCandidate& aOwner) {
+  const auto owner = std::ranges::find_if(
+    this->candidates, [&former](const OwnerCandidate& aOwner) {
       return aOwner.holder == former.holder;
     });
   if (owner == this->candidates.end()) {
@@ -224,42 +240,44 @@
   order.first = range.assigned.first;
   order.last = range.assigned.last;
   order.fencingToken = range.assigned.fencingToken;
-  this->hooks.sendCommand(order, [this, first = range.assigned.first,
-                            fence = range.assigned.fencingToken,
-                            holder = former.holder](const LeaseCommandReply& aReply) {
-    RangeState* found = this->FindRange(first, fence);
-    if (found == nullptr) {
-      return;
-    }
-    const auto asked =
-      std::ranges::find(found->previousHolders, holder, &PreviousHolder::holder);
-    if (asked == found->previousHolders.end()) {
-      return;
-    }
-    asked->commandPending = false;
-    asked->retryAt = this->hooks.now() + kRetryOrder;
-    if (aReply.result == LeaseCommandResult::kDone ||
-        aReply.result == LeaseCommandResult::kOtherUpstream) {
-      found->previousHolders.erase(asked);
-      found->handover = aReply.handover;
-      this->AdvanceRanges();
-    }
-  });
+  this->hooks.sendCommand(
+    order,
+    [this, first = range.assigned.first, fence = range.assigned.fencingToken,
+     holder = former.holder](const LeaseCommandReply& aReply) {
+      RangeState* found = this->FindRange(first, fence);
+      if (found == nullptr) {
+        return;
+      }
+      const auto asked = std::ranges::find(found->previousHolders, holder,
+                                           &PreviousHolder::holder);
+      if (asked == found->previousHolders.end()) {
+        return;
+      }
+      asked->commandPending = false;
+      asked->retryAt = this->hooks.now() + kRetryOrder;
+      if (aReply.result == LeaseCommandResult::kDone ||
+          aReply.result == LeaseCommandResult::kOtherUpstream) {
+        found->previousHolders.erase(asked);
+        found->handover = aReply.handover;
+        this->AdvanceRanges();
+      }
+    });
 }
 
 void Assigner::SendGrant(std::size_t aIndex)
 {
   RangeState& range = this->ranges[aIndex];
   const TimePoint now = this->hooks.now();
-  const auto owner =
-    std::ranges::find_if(this->candidates, [&range](const OwnerCandidate& aOwner) {
+  const auto owner = std::ranges::find_if(
+    this->candidates, [&range](const OwnerCandidate& aOwner) {
       return aOwner.holder == range.assigned.holder;
     });
   if (owner == this->candidates.end() || !this->MayRenewLeases()) {
     return;
   }
   range.commandPending = true;
-  range.leaseExpiresAt = std::max(range.leaseExpiresAt, this->LeaseExpiryFromNow());
+  range.leaseExpiresAt =
+    std::max(range.leaseExpiresAt, this->LeaseExpiryFromNow());
   range.nextGrantAt = now + this->leaseDuration / kRenewalsInHold;
   LeaseCommand order;
   order.upstream = range.assigned.holder.upstream;
@@ -269,11 +287,11 @@
   order.fencingToken = range.assigned.fencingToken;
   order.leaseDuration = this->leaseDuration;
   order.handover = range.handover;
-  this->hooks.sendCommand(order,
-                    [this, first = range.assigned.first,
-                     fence = range.assigned.fencingToken](const LeaseCommandReply& aReply) {
-                      this->OnGrantReply(first, fence, aReply);
-                    });
+  this->hooks.sendCommand(order, [this, first = range.assigned.first,
+                                  fence = range.assigned.fencingToken](
+                                   const LeaseCommandReply& aReply) {
+    this->OnGrantReply(first, fence, aReply);
+  });
 }
 
 Assigner::RangeState* Assigner::FindRange(Key aFirst, FencingToken aFence)
@@ -281,14 +299,16 @@
   if (this->phase != Phase::kActive) {
     return nullptr;
   }
-  const auto found =
-    std::ranges::find_if(this->ranges, [aFirst, aFence](const RangeState& aRange) {
-      return aRange.assigned.first == aFirst && aRange.assigned.fencingToken == aFence;
+  const auto found = std::ranges::find_if(
+    this->ranges, [aFirst, aFence](const RangeState& aRange) {
+      return aRange.assigned.first == aFirst &&
+             aRange.assigned.fencingToken == aFence;
     });
   return found == this->ranges.end() ? nullptr : &*found;
 }
 
-void Assigner::OnGrantReply(Key aFirst, FencingToken aFence, const LeaseCommandReply& aReply)
+void Assigner::OnGrantReply(Key aFirst, FencingToken aFence,
+                            const LeaseCommandReply& aReply)
 {
   RangeState* range = this->FindRange(aFirst, aFence);
   if (range == nullptr) {
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -51,20 +51,21 @@
     return;
   }
   trouble.duration = trouble.duration.count() == 0
-                    ? kTroubled
-                    : std::min(kLongestTrouble, trouble.duration * 2);
+                       ? kTroubled
+                       : std::min(kLongestTrouble, trouble.duration * 2);
   trouble.until = now + trouble.duration;
 }
 
 bool Assigner::HasUngrantedRange(const Holder& aHolder) const
 {
-  return std::ranges::any_of(this->ranges, [&aHolder](const RangeState& aRange) {
-    return aRange.assigned.holder == aHolder && !aRange.granted;
-  });
+  return std::ranges::any_of(
+    this->ranges, [&aHolder](const RangeState& aRange) {
+      return aRange.assigned.holder == aHolder && !aRange.granted;
+    });
 }
 
-const OwnerCandidate* Assigner::FindCandidate(const std::vector<OwnerCandidate>& aOwners,
-                                     const Holder& aHolder) const
+const OwnerCandidate* Assigner::FindCandidate(
+  const std::vector<OwnerCandidate>& aOwners, const Holder& aHolder) const
 {
   const auto found =
     std::ranges::find_if(aOwners, [&aHolder](const OwnerCandidate& aOwner) {
@@ -79,8 +80,10 @@
 std::vector<Key> Assigner::SortedRequests(Duration aWindow) const
 {
   const TimePoint from = this->hooks.now() - aWindow;
-  const auto first = std::ranges::find_if(
-    this->recentRequests, [from](const auto& aOne) { return aOne.first >= from; });
+  const auto first =
+    std::ranges::find_if(this->recentRequests, [from](const auto& aOne) {
+      return aOne.first >= from;
+    });
   std::vector<Key> keys;
   std::transform(first, this->recentRequests.end(), std::back_inserter(keys),
                  [](const auto& aOne) { return aOne.second; });
@@ -91,8 +94,8 @@
 void Assigner::PlanChanges()
 {
   const TimePoint now = this->hooks.now();
-  if (this->writePending || this->phase != Phase::kActive || !this->storeAvailable ||
-      this->leaving) {
+  if (this->writePending || this->phase != Phase::kActive ||
+      !this->storeAvailable || this->leaving) {
     return;
   }
   this->planDue = now + kPlanInterval;
@@ -111,7 +114,7 @@
 
 // Keys whose holder may not or does not serve them.
 bool Assigner::PlanReplacements(Assignment& aNext,
-                          const std::vector<OwnerCandidate>& aOwners)
+                                const std::vector<OwnerCandidate>& aOwners)
 {
   std::vector<std::pair<OwnerCandidate, double>> loads;
   const auto collect = [&](bool aCold) {
@@ -136,9 +139,10 @@
         const auto begin = std::ranges::lower_bound(keys, range.assigned.first);
         const auto end = std::ranges::upper_bound(keys, range.assigned.last);
         // Keys count a little too, for services without requests yet.
-        load += static_cast<double>(end - begin) +
-                static_cast<double>(range.assigned.last - range.assigned.first) /
-                  kLastKey;
+        load +=
+          static_cast<double>(end - begin) +
+          static_cast<double>(range.assigned.last - range.assigned.first) /
+            kLastKey;
       }
     }
     load /= owner.capacity;
@@ -157,9 +161,10 @@
 }
 
 // In pieces, so that one lost upstream's requests do not drown another.
-void Assigner::ReassignRange(Assignment& aNext, const RangeState& aRange,
-                        const std::vector<Key>& aRequests,
-                        std::vector<std::pair<OwnerCandidate, double>>& aLoads)
+void Assigner::ReassignRange(
+  Assignment& aNext, const RangeState& aRange,
+  const std::vector<Key>& aRequests,
+  std::vector<std::pair<OwnerCandidate, double>>& aLoads)
 {
   constexpr int kPieces = 3;
   const auto begin = std::ranges::lower_bound(aRequests, aRange.assigned.first);
@@ -194,8 +199,8 @@
   }
   this->mergeDue = now + kJoinEvery;
   const auto isSettled = [now](const RangeState& aRange) {
-    return aRange.granted && aRange.previousHolders.empty() && !aRange.renewalsStopped &&
-           now - aRange.grantedAt >= kJoinRest;
+    return aRange.granted && aRange.previousHolders.empty() &&
+           !aRange.renewalsStopped && now - aRange.grantedAt >= kJoinRest;
   };
   std::size_t joins = 0;
   for (std::size_t i = 1; i < this->ranges.size() && joins < kMostJoins; ++i) {
@@ -203,7 +208,8 @@
     const RangeState& right = this->ranges[i];
     if (left.assigned.holder == right.assigned.holder && isSettled(left) &&
         isSettled(right)) {
-      Reassign(aNext, left.assigned.first, right.assigned.last, left.assigned.holder);
+      Reassign(aNext, left.assigned.first, right.assigned.last,
+               left.assigned.holder);
       ++joins;
       // It is another range now.
       ++i;
@@ -223,8 +229,8 @@
   BalanceInput question;
   for (const RangeState& range : this->ranges) {
     // One change at a time for any key.
-    if (range.granted && range.previousHolders.empty() && !range.renewalsStopped &&
-        now - range.grantedAt >= kRest) {
+    if (range.granted && range.previousHolders.empty() &&
+        !range.renewalsStopped && now - range.grantedAt >= kRest) {
       question.ranges.push_back(range.assigned);
     }
   }
--- a/src/ownership/internal/assignment.cpp
+++ b/src/ownership/internal/assignment.cpp
@@ -68,8 +68,8 @@
   json holders = json::array();
   std::map<std::pair<state::UpstreamId, std::int64_t>, std::size_t> places;
   const auto placeOf = [&](const Holder& aHolder) {
-    const auto [found, isNew] =
-      places.try_emplace({ aHolder.upstream, aHolder.startedMs }, holders.size());
+    const auto [found, isNew] = places.try_emplace(
+      { aHolder.upstream, aHolder.startedMs }, holders.size());
     if (isNew) {
       holders.push_back(HolderText(aHolder));
     }
@@ -78,7 +78,8 @@
   json ranges = json::array();
   for (const AssignedRange& range : aAssignment.ranges) {
     json one = { range.last, placeOf(range.holder), range.fencingToken };
-    std::ranges::transform(range.previousHolders, std::back_inserter(one), placeOf);
+    std::ranges::transform(range.previousHolders, std::back_inserter(one),
+                           placeOf);
     ranges.push_back(std::move(one));
   }
   return json{
@@ -129,7 +130,8 @@
   return assignment;
 }
 
-void Reassign(Assignment& aAssignment, Key aFirst, Key aLast, const Holder& aHolder)
+void Reassign(Assignment& aAssignment, Key aFirst, Key aLast,
+              const Holder& aHolder)
 {
   std::vector<AssignedRange> result;
   const FencingToken fence = aAssignment.nextFencingToken++;
@@ -162,7 +164,8 @@
   aAssignment.ranges = Joined(result);
 }
 
-StoredMap MapFromAssignment(const Assignment& aAssignment, state::Version aVersion)
+StoredMap MapFromAssignment(const Assignment& aAssignment,
+                            state::Version aVersion)
 {
   constexpr std::int64_t kBeforeAnyStep = -1;
   StoredMap map;
--- a/src/ownership/internal/keymap.cpp
+++ b/src/ownership/internal/keymap.cpp
@@ -48,7 +48,7 @@
 }
 
 bool KeyMap::ApplyChanges(const MapVersion& aBase, const MapVersion& aMark,
-                        const std::vector<MapRange>& aChanges, TimePoint aNow)
+                          const std::vector<MapRange>& aChanges, TimePoint aNow)
 {
   if (aBase != this->mark) {
     return false;
@@ -85,8 +85,8 @@
   return this->ReplaceIfNewer(aMark, std::move(merged), aNow);
 }
 
-bool KeyMap::ReplaceIfNewer(const MapVersion& aMark, std::vector<MapRange> aRanges,
-                    TimePoint aNow)
+bool KeyMap::ReplaceIfNewer(const MapVersion& aMark,
+                            std::vector<MapRange> aRanges, TimePoint aNow)
 {
   if (!aMark.IsNewerThan(this->mark)) {
     return false;
--- a/src/ownership/keymap.h
+++ b/src/ownership/keymap.h
@@ -31,8 +31,9 @@
   // the version.
   bool IsNewerThan(const MapVersion& aOther) const
   {
-    return this->assignmentVersion != aOther.assignmentVersion ? this->assignmentVersion > aOther.assignmentVersion
-                                           : this->revision > aOther.revision;
+    return this->assignmentVersion != aOther.assignmentVersion
+             ? this->assignmentVersion > aOther.assignmentVersion
+             : this->revision > aOther.revision;
   }
 
   friend bool operator==(const MapVersion&, const MapVersion&) = default;
@@ -57,12 +58,12 @@
 public:
   // False where it is not newer than what is known.
   bool ReplaceIfNewer(const MapVersion& aMark, std::vector<MapRange> aRanges,
-              TimePoint aNow);
+                      TimePoint aNow);
 
   // aChanges are the ranges in which the new map differs from that of aBase.
   // False where that is not the one known here.
   bool ApplyChanges(const MapVersion& aBase, const MapVersion& aMark,
-                  const std::vector<MapRange>& aChanges, TimePoint aNow);
+                    const std::vector<MapRange>& aChanges, TimePoint aNow);
 
   const MapVersion& CurrentVersion() const { return this->mark; }
   // By rising keys.
--- a/src/ownership/tests/assignmentsimulation.h
+++ b/src/ownership/tests/assignmentsimulation.h
@@ -314,7 +314,8 @@
                                Assigner::WriteDone aDone) {
       this->Write(weak.lock(), aWrite, std::move(aDone));
     };
-    hooks.sendCommand = [this, weak](const LeaseCommand& aOrder, Assigner::CommandDone aDone) {
+    hooks.sendCommand = [this, weak](const LeaseCommand& aOrder,
+                                     Assigner::CommandDone aDone) {
       this->Carry(weak.lock(), aOrder, std::move(aDone));
     };
     hooks.candidates = [this] {
@@ -419,13 +420,13 @@
       }
       const TimePoint arrived = this->now;
       if (upstream.late.count() > 0 && order.kind == LeaseCommandKind::kGrant) {
-        this->At(
-          upstream.late, [this, order, arrived, born = upstream.holder.startedMs] {
-            FakeUpstream& same = this->upstreams.at(order.upstream.value);
-            if (same.alive && same.holder.startedMs == born) {
-              Apply(same, order, arrived);
-            }
-          });
+        this->At(upstream.late, [this, order, arrived,
+                                 born = upstream.holder.startedMs] {
+          FakeUpstream& same = this->upstreams.at(order.upstream.value);
+          if (same.alive && same.holder.startedMs == born) {
+            Apply(same, order, arrived);
+          }
+        });
         noAnswer();
         return;
       }
@@ -436,13 +437,15 @@
     });
   }
 
-  static bool Overlaps(const FakeUpstream::Held& aHeld, const LeaseCommand& aOrder)
+  static bool Overlaps(const FakeUpstream::Held& aHeld,
+                       const LeaseCommand& aOrder)
   {
     return aHeld.first <= aOrder.last && aOrder.first <= aHeld.last;
   }
 
-  static LeaseCommandResult Apply(FakeUpstream& aUpstream, const LeaseCommand& aOrder,
-                           TimePoint aArrived)
+  static LeaseCommandResult Apply(FakeUpstream& aUpstream,
+                                  const LeaseCommand& aOrder,
+                                  TimePoint aArrived)
   {
     if (aOrder.kind == LeaseCommandKind::kRelease) {
       ++aUpstream.releases;
@@ -461,16 +464,17 @@
     Cut(aUpstream.holds, aOrder);
     Cut(aUpstream.seen, aOrder);
     // Its clock runs 2% slow.
-    const auto until =
-      aArrived + std::chrono::duration_cast<Duration>(aOrder.leaseDuration * 1.02);
-    const FakeUpstream::Held held{ aOrder.first, aOrder.last, aOrder.fencingToken,
-                                   until };
+    const auto until = aArrived + std::chrono::duration_cast<Duration>(
+                                    aOrder.leaseDuration * 1.02);
+    const FakeUpstream::Held held{ aOrder.first, aOrder.last,
+                                   aOrder.fencingToken, until };
     aUpstream.holds.push_back(held);
     aUpstream.seen.push_back(held);
     return LeaseCommandResult::kDone;
   }
 
-  static void Cut(std::vector<FakeUpstream::Held>& aHolds, const LeaseCommand& aOrder)
+  static void Cut(std::vector<FakeUpstream::Held>& aHolds,
+                  const LeaseCommand& aOrder)
   {
     std::vector<FakeUpstream::Held> left;
     for (const FakeUpstream::Held& held : aHolds) {
--- a/src/ownership/tests/balance_test.cpp
+++ b/src/ownership/tests/balance_test.cpp
@@ -115,7 +115,8 @@
     Reassign(assignment, 7, 9, { { "u2" }, 1 });
     const auto again = ParseAssignment(SerializeAssignment(assignment));
     CPPUNIT_ASSERT(again.has_value());
-    CPPUNIT_ASSERT_EQUAL(SerializeAssignment(assignment), SerializeAssignment(*again));
+    CPPUNIT_ASSERT_EQUAL(SerializeAssignment(assignment),
+                         SerializeAssignment(*again));
     for (const char* text :
          { "", "{}", "[1]", R"({"nextFence":1,"ranges":[]})",
            R"({"nextFence":1,"ranges":[{"first":1,"last":65535,
@@ -129,7 +130,8 @@
   {
     KeyMap map;
     const TimePoint now{ std::chrono::hours(1) };
-    CPPUNIT_ASSERT(map.ReplaceIfNewer({ 5, 2, {} }, { { 0, kLastKey, { "a" } } }, now));
+    CPPUNIT_ASSERT(
+      map.ReplaceIfNewer({ 5, 2, {} }, { { 0, kLastKey, { "a" } } }, now));
     CPPUNIT_ASSERT(
       !map.ReplaceIfNewer({ 5, 1, {} }, { { 0, kLastKey, { "b" } } }, now));
     CPPUNIT_ASSERT(
@@ -233,7 +235,7 @@
       const MapVersion mark{ 1, step, host };
       CPPUNIT_ASSERT(!told.ApplyChanges({ 1, step, host }, mark, {}, {}));
       CPPUNIT_ASSERT(told.ApplyChanges({ 1, step - 1, host }, mark,
-                                     ChangedRanges(before, after), {}));
+                                       ChangedRanges(before, after), {}));
       KeyMap whole;
       whole.ReplaceIfNewer(mark, after, TimePoint{});
       for (int key = 0; key <= kLastKey; key += 13) {
@@ -255,8 +257,7 @@
     std::mt19937 random(6);
     Assignment assignment = AssignEvenly(Holders(137));
     for (int plan = 0; plan < 3; ++plan) {
-      BalanceInput question =
-        Question(assignment, Requests(random, 0.35, 750));
+      BalanceInput question = Question(assignment, Requests(random, 0.35, 750));
       question.overloadFactor = kSudden;
       const auto moves = PlanMoves(question);
       CPPUNIT_ASSERT(!moves.empty());
@@ -295,7 +296,7 @@
   }
 
   static BalanceInput Question(const Assignment& aAssignment,
-                                  const std::vector<Key>& aRequests)
+                               const std::vector<Key>& aRequests)
   {
     BalanceInput question;
     question.ranges = aAssignment.ranges;
