--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -135,7 +135,7 @@
       { { host->host, host->dataCentre, host->processors }, host->address });
   }
   this->neighbours.SetHosts(std::move(hosts));
-  this->upstreams.SetSpan(this->neighbours.Cells().OwnSpan());
+  this->upstreams.SetCellRange(this->neighbours.Cells().OwnRange());
   this->Dial();
 }
 
--- a/src/node/internal/neighbours.cpp
+++ b/src/node/internal/neighbours.cpp
@@ -84,7 +84,7 @@
 
 bool Neighbours::IsMate(const state::HostId& aHost) const
 {
-  return !this->cells.IsDivided() || this->cells.Mates().contains(aHost);
+  return !this->cells.IsDivided() || this->cells.Members().contains(aHost);
 }
 
 std::vector<state::HostId> Neighbours::All() const
@@ -132,7 +132,7 @@
                            [](const auto& aItem) { return aItem.first; });
     return wanted;
   }
-  wanted = this->cells.Mates();
+  wanted = this->cells.Members();
   wanted.insert(this->assigners.begin(), this->assigners.end());
   // The first choices too, to hear when they are back.
   const auto first =
--- a/src/node/tests/neighbours_test.cpp
+++ b/src/node/tests/neighbours_test.cpp
@@ -106,12 +106,12 @@
     const auto readers = [&] {
       std::set<state::HostId> reading;
       const Neighbours first = this->Make(0, 60);
-      for (const state::HostId& mate : first.Cells().Mates()) {
+      for (const state::HostId& mate : first.Cells().Members()) {
         const int number = std::stoi(mate.value.substr(5));
         Neighbours neighbours = this->Make(number, 60);
         neighbours.TakeDials();
         this->now += milliseconds(1500);
-        const std::set<state::HostId>& mates = first.Cells().Mates();
+        const std::set<state::HostId>& mates = first.Cells().Members();
         const bool isHub = neighbours.Preference(mate) > 1;
         if (!isHub && neighbours.IsReader({ mates.begin(), mates.end() },
                                           [&](const state::HostId& aHost) {
@@ -140,7 +140,7 @@
         Neighbours neighbours = this->Make(i, 60);
         neighbours.TakeDials();
         this->HearAll();
-        const std::set<state::HostId>& mates = neighbours.Cells().Mates();
+        const std::set<state::HostId>& mates = neighbours.Cells().Members();
         count += neighbours.IsReader({ mates.begin(), mates.end() },
                                      [&](const state::HostId& aHost) {
                                        return !turnedAway.contains(aHost);
--- a/src/routing/cells.h
+++ b/src/routing/cells.h
@@ -33,7 +33,7 @@
 
 // A part of all hosts, or of all upstreams of a service, each laid out side by
 // side by data centre: 0 is the first one's begin, 1 the last one's end.
-struct Span
+struct FractionRange
 {
   double begin = 0;
   double end = 1;
@@ -50,8 +50,8 @@
   // Without it all hosts are one cell.
   bool IsDivided() const { return this->divided; }
   // Of this host's cell, itself included.
-  const std::set<state::HostId>& Mates() const { return this->mates; }
-  Span OwnSpan() const { return this->span; }
+  const std::set<state::HostId>& Members() const { return this->members; }
+  FractionRange OwnRange() const { return this->ownRange; }
 
   // The few hosts that all others keep a connection to, so that news go round
   // and that who assigns keys hears everyone: the largest one of each of some
@@ -67,8 +67,8 @@
   // By data centre, and then in an order of no meaning.
   std::vector<CellHost> hosts;
   bool divided = false;
-  std::set<state::HostId> mates;
-  Span span;
+  std::set<state::HostId> members;
+  FractionRange ownRange;
   // Of each data centre that has a hub, its hosts, the first choice first.
   std::vector<std::vector<state::HostId>> hubRanks;
 };
@@ -76,6 +76,6 @@
 // Whether the upstream at aPlace of aCount belongs to the cell: it does to each
 // that it overlaps, so that even a service with fewer upstreams than there are
 // cells leaves none without.
-bool IsInSpan(const Span& aSpan, std::size_t aPlace, std::size_t aCount);
+bool OverlapsRange(const FractionRange& aSpan, std::size_t aPlace, std::size_t aCount);
 
 } // namespace kumquat::routing
--- a/src/routing/internal/cells.cpp
+++ b/src/routing/internal/cells.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-bool IsInSpan(const Span& aSpan, std::size_t aPlace, std::size_t aCount)
+bool OverlapsRange(const FractionRange& aSpan, std::size_t aPlace, std::size_t aCount)
 {
   // A shared end is no overlap, also where it was rounded.
   constexpr double kRounding = 1e-9;
@@ -49,7 +49,7 @@
 
 Cells::Cells(state::HostId aSelf)
   : self(std::move(aSelf))
-  , mates{ this->self }
+  , members{ this->self }
 {
 }
 
@@ -67,8 +67,8 @@
 
 void Cells::Divide()
 {
-  this->mates.clear();
-  this->span = {};
+  this->members.clear();
+  this->ownRange = {};
   const auto begin = this->hosts.begin();
   const auto own = std::ranges::find(this->hosts, this->self, &CellHost::id);
   auto first = begin;
@@ -89,12 +89,12 @@
     first = ofCentre.begin() + startOf(cell);
     last = ofCentre.begin() + startOf(cell + 1);
     const auto all = static_cast<double>(this->hosts.size());
-    this->span = { static_cast<double>(first - begin) / all,
+    this->ownRange = { static_cast<double>(first - begin) / all,
                    static_cast<double>(last - begin) / all };
   }
-  std::transform(first, last, std::inserter(this->mates, this->mates.end()),
+  std::transform(first, last, std::inserter(this->members, this->members.end()),
                  [](const CellHost& aHost) { return aHost.id; });
-  this->mates.insert(this->self);
+  this->members.insert(this->self);
 }
 
 void Cells::RankHubs()
--- a/src/routing/internal/upstreams.cpp
+++ b/src/routing/internal/upstreams.cpp
@@ -237,9 +237,9 @@
   this->isIndexed = false;
 }
 
-void Upstreams::SetSpan(const Span& aSpan)
+void Upstreams::SetCellRange(const FractionRange& aSpan)
 {
-  this->span = aSpan;
+  this->cellRange = aSpan;
   this->isIndexed = false;
 }
 
@@ -281,7 +281,7 @@
       [this](const UpstreamState* aOne) { return this->MayUse(*aOne); });
     for (std::size_t i = 0; i < usable.size(); ++i) {
       UpstreamState* one = usable[i];
-      one->isOfCell = IsInSpan(this->span, i, usable.size());
+      one->isOfCell = OverlapsRange(this->cellRange, i, usable.size());
       (one->isOfCell ? service.ofCell : service.ofOthers).push_back(one);
     }
   }
--- a/src/routing/tests/cells_test.cpp
+++ b/src/routing/tests/cells_test.cpp
@@ -32,9 +32,9 @@
     const auto hosts = Hosts(12);
     const Cells cells = CellsOf(hosts[3], hosts);
     CPPUNIT_ASSERT(!cells.IsDivided());
-    CPPUNIT_ASSERT_EQUAL(hosts.size(), cells.Mates().size());
-    CPPUNIT_ASSERT_EQUAL(0.0, cells.OwnSpan().begin);
-    CPPUNIT_ASSERT_EQUAL(1.0, cells.OwnSpan().end);
+    CPPUNIT_ASSERT_EQUAL(hosts.size(), cells.Members().size());
+    CPPUNIT_ASSERT_EQUAL(0.0, cells.OwnRange().begin);
+    CPPUNIT_ASSERT_EQUAL(1.0, cells.OwnRange().end);
     CPPUNIT_ASSERT(cells.Hubs(NoneIsGone).empty());
   }
 
@@ -47,14 +47,14 @@
     for (const CellHost& host : hosts) {
       const Cells cells = CellsOf(host, hosts);
       CPPUNIT_ASSERT(cells.IsDivided());
-      CPPUNIT_ASSERT(cells.Mates().size() >= 6 && cells.Mates().size() <= 14);
+      CPPUNIT_ASSERT(cells.Members().size() >= 6 && cells.Members().size() <= 14);
       for (const CellHost& other : hosts) {
-        if (cells.Mates().contains(other.id)) {
+        if (cells.Members().contains(other.id)) {
           CPPUNIT_ASSERT(other.dataCentre == host.dataCentre);
-          CPPUNIT_ASSERT(CellsOf(other, hosts).Mates() == cells.Mates());
+          CPPUNIT_ASSERT(CellsOf(other, hosts).Members() == cells.Members());
         }
       }
-      spans[cells.OwnSpan().begin] = cells.OwnSpan().end;
+      spans[cells.OwnRange().begin] = cells.OwnRange().end;
     }
     double end = 0;
     for (const auto& [begin, last] : spans) {
@@ -71,9 +71,9 @@
     const auto hosts = Hosts(82);
     std::map<state::UpstreamId, std::set<double>> cellsOf;
     for (const CellHost& host : hosts) {
-      const Span span = CellsOf(host, hosts).OwnSpan();
+      const FractionRange span = CellsOf(host, hosts).OwnRange();
       Upstreams upstreams = UpstreamsOf(15);
-      upstreams.SetSpan(span);
+      upstreams.SetCellRange(span);
       const ServiceUpstreams& service = upstreams.Of({ "pecyn" });
       CPPUNIT_ASSERT(!service.ofCell.empty() && service.ofCell.size() <= 4);
       CPPUNIT_ASSERT_EQUAL(std::size_t{ 15 },
@@ -97,7 +97,7 @@
     std::size_t most = 0;
     for (const CellHost& host : hosts) {
       Upstreams upstreams = UpstreamsOf(90);
-      upstreams.SetSpan(CellsOf(host, hosts).OwnSpan());
+      upstreams.SetCellRange(CellsOf(host, hosts).OwnRange());
       upstreams.SetOut({ { "b" } });
       const std::size_t count = upstreams.Of({ "pecyn" }).ofCell.size();
       least = std::min(least, count);
@@ -115,8 +115,8 @@
     const auto after = Hosts(83);
     int moved = 0;
     for (const CellHost& host : before) {
-      const std::set<state::HostId> old = CellsOf(host, before).Mates();
-      const std::set<state::HostId> now = CellsOf(host, after).Mates();
+      const std::set<state::HostId> old = CellsOf(host, before).Members();
+      const std::set<state::HostId> now = CellsOf(host, after).Members();
       const auto kept = std::ranges::count_if(
         old, [&now](const state::HostId& aId) { return now.contains(aId); });
       moved += kept + 2 < static_cast<std::ptrdiff_t>(old.size()) ? 1 : 0;
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -582,7 +582,7 @@
   // idle, and the next two may go.
   void testFullCellBorrowsFromOthers()
   {
-    this->upstreams.SetSpan({ 0, 1.0 / 3 });
+    this->upstreams.SetCellRange({ 0, 1.0 / 3 });
     const UpstreamState* own = this->upstreams.Of({ "archeb" }).ofCell.at(0);
     for (int i = 0; i < 8; ++i) {
       this->Ask("/look/1");
@@ -621,7 +621,7 @@
       this->upstreams.Put(entry, this->now);
     }
     // "caerdydd" comes before "wrecsam".
-    this->upstreams.SetSpan({ 0, 1.0 / 3 });
+    this->upstreams.SetCellRange({ 0, 1.0 / 3 });
     for (int i = 0; i < 5; ++i) {
       this->Ask("/pack/1");
     }
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadworld.h
@@ -218,7 +218,7 @@
       host->dispatcher->SetHosts(this->MatesOf(*host), all);
       if (this->options.inCells) {
         const double centre = std::stod(host->dataCentre.value);
-        host->upstreams.SetSpan({ centre / this->options.dataCentres,
+        host->upstreams.SetCellRange({ centre / this->options.dataCentres,
                                   (centre + 1) / this->options.dataCentres });
       }
     }
--- a/src/routing/upstreams.h
+++ b/src/routing/upstreams.h
@@ -174,7 +174,7 @@
 
   void SetOut(std::set<state::DataCentre> aOut);
   // The part that this host's cell uses first.
-  void SetSpan(const Span& aSpan);
+  void SetCellRange(const FractionRange& aSpan);
   // All hosts that may use one upstream.
   void SetHostCount(std::size_t aHosts) { this->hostCount = aHosts; }
   bool IsOut(const state::DataCentre& aCentre) const
@@ -248,7 +248,7 @@
   // Made anew when it is asked for after a change.
   std::map<state::ServiceName, ServiceUpstreams> byService;
   bool isIndexed = false;
-  Span span;
+  FractionRange cellRange;
   std::size_t hostCount = 1;
   std::set<state::DataCentre> out;
   std::map<state::HostId, std::unordered_map<std::string, PeerUse>> peers;
