--- a/src/routing/coldpace.h
+++ b/src/routing/coldratelimiter.h
@@ -14,10 +14,10 @@
 
 namespace kumquat::routing {
 
-class ColdPace
+class ColdRateLimiter
 {
 public:
-  explicit ColdPace(state::HostId aSelf);
+  explicit ColdRateLimiter(state::HostId aSelf);
 
   // aHosts are those heard lately, this one included.
   void SetHosts(std::vector<state::HostId> aHosts);
@@ -29,7 +29,7 @@
   void OnSent(const state::UpstreamId& aId, TimePoint aNow);
 
 private:
-  bool IsFeeder(const state::UpstreamId& aId, std::size_t aFeeders) const;
+  bool IsSender(const state::UpstreamId& aId, std::size_t aFeeders) const;
 
   const state::HostId self;
   std::vector<state::HostId> hosts;
@@ -38,6 +38,6 @@
 
 // Feeders of an upstream: as many as may each send one request within a second
 // and keep the sum under the rate, one at least.
-std::size_t FeederCount(double aPerSecond, std::size_t aHosts);
+std::size_t ColdSenderCount(double aPerSecond, std::size_t aHosts);
 
 } // namespace kumquat::routing
--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -11,7 +11,7 @@
 #include "coordination/retrybudget.h"
 #include "framework/clock.h"
 #include "protocol/errorkind.h"
-#include "routing/coldpace.h"
+#include "routing/coldratelimiter.h"
 #include "routing/configuration.h"
 #include "routing/placing.h"
 #include "routing/upstreams.h"
@@ -223,9 +223,9 @@
   Upstreams& upstreams;
   const Hooks hooks;
   std::shared_ptr<const RouteTable> routes;
-  ColdPace coldPace;
+  ColdRateLimiter coldPace;
   // A cold owner of keys gets requests from all cells.
-  ColdPace ownerPace;
+  ColdRateLimiter ownerPace;
   // Heard lately in this host's cell, and all; itself included.
   std::size_t cellCount = 1;
   std::size_t hostCount = 1;
--- a/src/routing/internal/coldpace.cpp
+++ b/src/routing/internal/coldratelimiter.cpp
@@ -1,6 +1,6 @@
 // Shares of a cold upstream's rate.
 
-#include "routing/coldpace.h"
+#include "routing/coldratelimiter.h"
 
 #include "framework/rendezvous.h"
 
@@ -10,31 +10,31 @@
 
 namespace kumquat::routing {
 
-ColdPace::ColdPace(state::HostId aSelf)
+ColdRateLimiter::ColdRateLimiter(state::HostId aSelf)
   : self(std::move(aSelf))
   , hosts{ this->self }
 {
 }
 
-void ColdPace::SetHosts(std::vector<state::HostId> aHosts)
+void ColdRateLimiter::SetHosts(std::vector<state::HostId> aHosts)
 {
   this->hosts = std::move(aHosts);
 }
 
-std::size_t FeederCount(double aPerSecond, std::size_t aHosts)
+std::size_t ColdSenderCount(double aPerSecond, std::size_t aHosts)
 {
   const auto whole = static_cast<std::size_t>(std::max(1.0, aPerSecond));
   return std::max<std::size_t>(1, std::min(whole, aHosts));
 }
 
-bool ColdPace::MaySend(const state::UpstreamId& aId, double aPerSecond,
+bool ColdRateLimiter::MaySend(const state::UpstreamId& aId, double aPerSecond,
                        TimePoint aNow) const
 {
   if (aPerSecond <= 0) {
     return true;
   }
-  const std::size_t feeders = FeederCount(aPerSecond, this->hosts.size());
-  if (!this->IsFeeder(aId, feeders)) {
+  const std::size_t feeders = ColdSenderCount(aPerSecond, this->hosts.size());
+  if (!this->IsSender(aId, feeders)) {
     return false;
   }
   const auto sent = this->lastSent.find(aId);
@@ -43,12 +43,12 @@
   return sent == this->lastSent.end() || aNow - sent->second >= gap;
 }
 
-void ColdPace::OnSent(const state::UpstreamId& aId, TimePoint aNow)
+void ColdRateLimiter::OnSent(const state::UpstreamId& aId, TimePoint aNow)
 {
   this->lastSent[aId] = aNow;
 }
 
-bool ColdPace::IsFeeder(const state::UpstreamId& aId,
+bool ColdRateLimiter::IsSender(const state::UpstreamId& aId,
                         std::size_t aFeeders) const
 {
   const std::uint64_t own = RendezvousScore(this->self.value, aId.value);
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -247,7 +247,7 @@
   ++this->running;
   ++this->changes;
   if (aUpstream.coldUntil > now) {
-    ColdPace& pace =
+    ColdRateLimiter& pace =
       this->IsKeyed(*aRequest) ? this->ownerPace : this->coldPace;
     pace.OnSent(aUpstream.entry.id, now);
   }
--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -133,7 +133,7 @@
     return true;
   }
   const Service* service = aRequest.routes->FindService(aRequest.service);
-  const ColdPace& pace =
+  const ColdRateLimiter& pace =
     this->IsKeyed(aRequest) ? this->ownerPace : this->coldPace;
   return service == nullptr ||
          pace.MaySend(aOne.entry.id, service->coldPerSecond, now);
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -561,10 +561,10 @@
     for (int i = 0; i < kHosts; ++i) {
       hosts.push_back({ "h" + std::to_string(i) });
     }
-    std::vector<ColdPace> paces(hosts.begin(), hosts.end());
+    std::vector<ColdRateLimiter> paces(hosts.begin(), hosts.end());
     int sent = 0;
     for (int ms = 0; ms < 4000; ms += 10) {
-      for (ColdPace& pace : paces) {
+      for (ColdRateLimiter& pace : paces) {
         pace.SetHosts(hosts);
         const TimePoint at = this->now + milliseconds(ms);
         if (pace.MaySend({ "u" }, kPerSecond, at)) {
