--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -338,7 +338,7 @@
   const std::string id = request->id;
   if (request->key) {
     const routing::Route* route =
-      this->routes->Find(request->hostName, request->message.target);
+      this->routes->FindRoute(request->hostName, request->message.target);
     if (route != nullptr && route->destinations.size() == 1) {
       this->keys->OnRequest(route->destinations.front().service, *request->key);
     }
@@ -469,7 +469,7 @@
 
 bool Gateway::Impl::IsReady() const
 {
-  return !this->isLeaving && this->routes->Text().version > 0 &&
+  return !this->isLeaving && this->routes->CurrentConfiguration().version > 0 &&
          !this->upstreams.All().empty();
 }
 
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -143,27 +143,27 @@
                     { { "row_version", aRow.version } });
     return;
   }
-  if (configuration->version <= this->routes->Text().version) {
+  if (configuration->version <= this->routes->CurrentConfiguration().version) {
     return;
   }
   this->routes =
     std::make_shared<const routing::RouteTable>(std::move(*configuration));
   this->dispatcher->SetRoutes(this->routes);
   std::set<state::ServiceName> keyed;
-  for (const routing::Service& service : this->routes->Text().services) {
+  for (const routing::Service& service : this->routes->CurrentConfiguration().services) {
     if (service.keyed) {
       keyed.insert(service.name);
     }
   }
   this->keys->SetServices(keyed);
-  const routing::CallerLimits& limits = this->routes->Text().limits;
+  const routing::CallerLimits& limits = this->routes->CurrentConfiguration().limits;
   this->callerServer->SetLimits(limits.maxHeaderBytes, limits.maxBodyBytes,
                                 limits.headerTimeout, limits.idleTimeout);
   const TimePoint end = BootTime();
   this->configurationDue =
     end + std::min<Duration>(kMostPause, kPausePerRead * (end - begin));
   this->log.Write(Event::kConfigurationInForce,
-                  { { "version", this->routes->Text().version } });
+                  { { "version", this->routes->CurrentConfiguration().version } });
 }
 
 bool Gateway::Impl::IsConfigurationBehind() const
--- a/src/routing/configuration.h
+++ b/src/routing/configuration.h
@@ -20,14 +20,14 @@
   // May run more than once.
   kIdempotent,
   // May run at most once for each attempt of a caller.
-  kOnce,
+  kAtMostOnce,
   // Idempotent, with large answers.
   kDownload,
 };
 
-constexpr bool MayRepeat(RouteKind aKind)
+constexpr bool IsIdempotent(RouteKind aKind)
 {
-  return aKind != RouteKind::kOnce;
+  return aKind != RouteKind::kAtMostOnce;
 }
 
 struct Destination
@@ -93,10 +93,10 @@
   RouteTable() = default;
   explicit RouteTable(Configuration aConfiguration);
 
-  const Configuration& Text() const { return this->configuration; }
+  const Configuration& CurrentConfiguration() const { return this->configuration; }
 
   // Null where no route matches. aTarget may carry a query.
-  const Route* Find(std::string_view aHostName, std::string_view aTarget) const;
+  const Route* FindRoute(std::string_view aHostName, std::string_view aTarget) const;
   // Null where the configuration has no such service.
   const Service* FindService(const state::ServiceName& aName) const;
 
--- a/src/routing/internal/configuration.cpp
+++ b/src/routing/internal/configuration.cpp
@@ -28,7 +28,7 @@
   }
 }
 
-const Route* RouteTable::Find(std::string_view aHostName,
+const Route* RouteTable::FindRoute(std::string_view aHostName,
                               std::string_view aTarget) const
 {
   std::string_view prefix = aTarget.substr(0, aTarget.find('?'));
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -89,7 +89,7 @@
   this->routes = std::move(aRoutes);
   std::erase_if(this->splits, [this](const auto& aItem) {
     return std::ranges::none_of(
-      this->routes->Text().routes,
+      this->routes->CurrentConfiguration().routes,
       [&aItem](const Route& aRoute) { return aRoute.name == aItem.first; });
   });
 }
@@ -171,12 +171,12 @@
   request->caller = std::move(aRequest);
   request->respond = std::move(aRespond);
   request->routes = this->routes;
-  request->route = this->routes->Find(request->caller.hostName,
+  request->route = this->routes->FindRoute(request->caller.hostName,
                                       request->caller.message.target);
   const TimePoint arrived = request->caller.arrived;
   if (request->route == nullptr) {
     request->deadline = this->deadlines.end();
-    const bool known = this->routes->Text().version > 0;
+    const bool known = this->routes->CurrentConfiguration().version > 0;
     this->Finish(request, { {},
                             known ? ErrorKind::kUnknownService
                                   : ErrorKind::kStoreUnavailable,
@@ -315,7 +315,7 @@
   const RequestPtr request = found->second;
   if (request->isRunning) {
     // What may run only once has most likely begun; its end costs nobody.
-    if (!MayRepeat(request->route->kind)) {
+    if (!IsIdempotent(request->route->kind)) {
       return;
     }
     this->hooks.cancel(aNumber);
@@ -395,7 +395,7 @@
   } else if (IsServerError(status)) {
     this->LeaveUpstream(*request, AnswerClass::kFailed, aAnswer.load, "failed");
     ++request->mayHaveRunAt;
-    if (MayRepeat(request->route->kind) &&
+    if (IsIdempotent(request->route->kind) &&
         this->MayResend(*request, ErrorKind::kUpstreamFailed)) {
       this->Resend(request, ErrorKind::kUpstreamFailed);
     } else {
@@ -492,7 +492,7 @@
 
 bool Dispatcher::MayResend(const Request& aRequest, ErrorKind aWhy)
 {
-  if (aRequest.mayHaveRunAt > 0 && !MayRepeat(aRequest.route->kind)) {
+  if (aRequest.mayHaveRunAt > 0 && !IsIdempotent(aRequest.route->kind)) {
     return false;
   }
   if (aRequest.mayHaveRunAt >= aRequest.route->maxAttempts ||
@@ -573,7 +573,7 @@
   trace.waited = ToMs(aRequest->sends == 0 ? now - aRequest->caller.arrived
                                            : aRequest->waited);
   trace.took = ToMs(now - aRequest->caller.arrived);
-  trace.configuration = aRequest->routes->Text().version;
+  trace.configuration = aRequest->routes->CurrentConfiguration().version;
   this->hooks.ended(trace);
   if (aRequest->respond) {
     const Respond respond = std::move(aRequest->respond);
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -28,7 +28,7 @@
   book.name = "book";
   book.hostName = "tents";
   book.prefix = "/book/";
-  book.kind = RouteKind::kOnce;
+  book.kind = RouteKind::kAtMostOnce;
   book.destinations = { { { "archeb" }, 1.0 } };
   book.timeout = milliseconds(1200);
   book.targetLatency = milliseconds(500);
--- a/src/routing/tests/upstreams_test.cpp
+++ b/src/routing/tests/upstreams_test.cpp
@@ -35,11 +35,11 @@
     text.routes = { { .name = "short", .hostName = "h", .prefix = "/a/" },
                     { .name = "long", .hostName = "h", .prefix = "/a/b/" } };
     const RouteTable table(text);
-    CPPUNIT_ASSERT_EQUAL(std::string("long"), table.Find("h", "/a/b/c")->name);
+    CPPUNIT_ASSERT_EQUAL(std::string("long"), table.FindRoute("h", "/a/b/c")->name);
     CPPUNIT_ASSERT_EQUAL(std::string("short"),
-                         table.Find("h", "/a/bc?x=/a/b/")->name);
-    CPPUNIT_ASSERT(table.Find("h", "/a") == nullptr);
-    CPPUNIT_ASSERT(table.Find("other", "/a/b/c") == nullptr);
+                         table.FindRoute("h", "/a/bc?x=/a/b/")->name);
+    CPPUNIT_ASSERT(table.FindRoute("h", "/a") == nullptr);
+    CPPUNIT_ASSERT(table.FindRoute("other", "/a/b/c") == nullptr);
   }
 
   // A message of the life before comes late: it must not bring that back.
