--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -242,7 +242,7 @@
     return std::uniform_int_distribution<std::size_t>(0,
                                                       aBelow - 1)(this->random);
   };
-  hooks.send = [this](const routing::UpstreamSend& aSend) {
+  hooks.send = [this](const routing::UpstreamRequest& aSend) {
     this->SendUpstream(aSend);
   };
   hooks.cancel = [this](routing::RequestNumber aNumber) {
@@ -344,7 +344,7 @@
     }
   }
   const routing::RequestNumber number = this->dispatcher->OnRequest(
-    std::move(*request), [id, aRespond](routing::CallerAnswer aAnswer) {
+    std::move(*request), [id, aRespond](routing::CallerResponse aAnswer) {
       aRespond(platform::MakeCallerResponse(std::move(aAnswer), id));
     });
   link->onGone = [this, number] {
@@ -354,7 +354,7 @@
   this->ArmDispatcher();
 }
 
-void Gateway::Impl::SendUpstream(const routing::UpstreamSend& aSend)
+void Gateway::Impl::SendUpstream(const routing::UpstreamRequest& aSend)
 {
   const routing::RequestNumber number = aSend.number;
   HttpRequest request = platform::MakeUpstreamRequest(aSend);
@@ -362,7 +362,7 @@
     return this->dispatcher->IsSendValid(number);
   };
   const auto call = this->upstreamClient->Send(
-    aSend.address, std::move(request), aSend.patience,
+    aSend.address, std::move(request), aSend.timeout,
     [this, number](Result<HttpResponse> aAnswer) {
       if (!aAnswer &&
           aAnswer.error() == transport::TransportError::kCancelled) {
@@ -370,7 +370,7 @@
       }
       this->calls.erase(number);
       if (aAnswer) {
-        this->dispatcher->OnAnswer(
+        this->dispatcher->OnUpstreamResponse(
           number, platform::ParseUpstreamResponse(std::move(*aAnswer)));
       } else {
         this->dispatcher->OnSendFailed(
@@ -437,7 +437,7 @@
       { "key", aTrace.key ? std::int64_t{ *aTrace.key } : kNoKey },
       { "reason", answer.name },
       { "status", static_cast<std::int64_t>(aTrace.status) },
-      { "sends", aTrace.sends },
+      { "sends", aTrace.attempts },
       { "waited_ms", static_cast<std::int64_t>(aTrace.waited.count()) },
       { "took_ms", static_cast<std::int64_t>(aTrace.took.count()) },
       { "queued", static_cast<std::int64_t>(aTrace.queued) },
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -62,7 +62,7 @@
   // Serving thread.
   void OnCaller(transport::HttpRequest&& aRequest,
                 const transport::HttpServer::Respond& aRespond);
-  void SendUpstream(const routing::UpstreamSend& aSend);
+  void SendUpstream(const routing::UpstreamRequest& aSend);
   void SendOrder(const ownership::LeaseCommand& aOrder,
                  ownership::Assigner::CommandDone aDone);
   void OnEnded(const routing::RequestTrace& aTrace);
--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -41,25 +41,25 @@
   std::optional<Key> key;
   TimePoint arrived;
   // How long the caller waits.
-  std::chrono::milliseconds patience{ 0 };
+  std::chrono::milliseconds timeout{ 0 };
 };
 
 // An upstream's answer, as far as the request's way depends on it.
-struct UpstreamAnswer
+struct UpstreamResponse
 {
   transport::HttpResponse message;
   // The upstream says that it did not run the request.
   bool notRun = false;
   // Another upstream has the address; its name, where it gave one.
   bool wrongUpstream = false;
-  state::UpstreamId answeredBy;
+  state::UpstreamId respondedBy;
   // A success that no upstream has signed is not one.
   bool isSigned = false;
   std::optional<UpstreamLoad> load;
 };
 
 // What the caller is told: an upstream's answer, or an error of ours.
-struct CallerAnswer
+struct CallerResponse
 {
   std::optional<transport::HttpResponse> message;
   protocol::ErrorKind error = protocol::ErrorKind::kNone;
@@ -69,7 +69,7 @@
 
 using RequestNumber = std::uint64_t;
 
-struct UpstreamSend
+struct UpstreamRequest
 {
   RequestNumber number = 0;
   state::UpstreamId upstream;
@@ -78,7 +78,7 @@
   const transport::HttpRequest* message = nullptr;
   std::optional<Key> key;
   // What is left of the caller's and the route's time.
-  std::chrono::milliseconds patience{ 0 };
+  std::chrono::milliseconds timeout{ 0 };
 };
 
 // One line of a request's story, for the log.
@@ -90,7 +90,7 @@
   std::string service;
   std::optional<Key> key;
   // Last upstream and all sends, as "i-1 refused 3ms; i-2 served 120ms".
-  std::string sends;
+  std::string attempts;
   protocol::ErrorKind error = protocol::ErrorKind::kNone;
   int status = 0;
   std::chrono::milliseconds waited{ 0 };
@@ -125,7 +125,7 @@
     Clock now;
     RandomBelow random;
     // Ends with exactly one call of OnAnswer or OnSendFailed.
-    std::function<void(const UpstreamSend&)> send;
+    std::function<void(const UpstreamRequest&)> send;
     // Closes the connection of a running send; no answer comes after it.
     std::function<void(RequestNumber)> cancel;
     std::function<KeyOwner(const state::ServiceName&, Key)> owner;
@@ -137,7 +137,7 @@
     std::function<void(protocol::ErrorKind)> resent;
   };
 
-  using Respond = std::function<void(CallerAnswer)>;
+  using Respond = std::function<void(CallerResponse)>;
 
   Dispatcher(DispatcherOptions aOptions, Upstreams& aUpstreams, Hooks aHooks);
   ~Dispatcher();
@@ -162,7 +162,7 @@
   RequestNumber OnRequest(CallerRequest aRequest, Respond aRespond);
   // The caller has closed its connection.
   void OnCallerGone(RequestNumber aNumber);
-  void OnAnswer(RequestNumber aNumber, UpstreamAnswer aAnswer);
+  void OnUpstreamResponse(RequestNumber aNumber, UpstreamResponse aAnswer);
   void OnSendFailed(RequestNumber aNumber, transport::TransportError aError);
   // Whether the upstream that was chosen may still be sent the request, which
   // waits for a connection: it may have left, or lost the key, meanwhile.
@@ -210,13 +210,13 @@
   void Withdraw(const RequestPtr& aRequest);
   bool MayResend(const Request& aRequest, protocol::ErrorKind aWhy);
   void Resend(const RequestPtr& aRequest, protocol::ErrorKind aWhy);
-  void LeaveUpstream(Request& aRequest, AnswerClass aClass,
+  void LeaveUpstream(Request& aRequest, AttemptResult aClass,
                      const std::optional<UpstreamLoad>& aLoad,
                      std::string_view aWord);
   void Fail(const RequestPtr& aRequest, protocol::ErrorKind aError);
   void Refuse(const RequestPtr& aRequest, protocol::ErrorKind aError);
   // The caller holds the request, as its end takes it out of the map.
-  void Finish(const RequestPtr& aRequest, CallerAnswer aAnswer);
+  void Finish(const RequestPtr& aRequest, CallerResponse aAnswer);
   void OnDeadline(const RequestPtr& aRequest);
 
   const DispatcherOptions options;
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -190,7 +190,7 @@
   }
   const Route& route = *request->route;
   const milliseconds patience =
-    std::min(request->caller.patience, route.timeout);
+    std::min(request->caller.timeout, route.timeout);
   request->service = this->PickService(route);
   request->waiting = { route.priority, arrived, arrived + route.targetLatency,
                        arrived + patience };
@@ -251,14 +251,14 @@
       this->IsKeyed(*aRequest) ? this->ownerPace : this->coldPace;
     pace.OnSent(aUpstream.entry.id, now);
   }
-  UpstreamSend send;
+  UpstreamRequest send;
   send.number = aRequest->number;
   send.upstream = aUpstream.entry.id;
   send.address = aUpstream.entry.address;
   send.id = aRequest->caller.id;
   send.message = &aRequest->caller.message;
   send.key = aRequest->caller.key;
-  send.patience =
+  send.timeout =
     std::max(milliseconds(1), ToMs(aRequest->waiting.deadline - now));
   this->upstreams.OnSent(aUpstream.entry.id, now);
   this->hooks.send(send);
@@ -319,7 +319,7 @@
       return;
     }
     this->hooks.cancel(aNumber);
-    this->LeaveUpstream(*request, AnswerClass::kAbandoned, {}, "caller-gone");
+    this->LeaveUpstream(*request, AttemptResult::kAbandoned, {}, "caller-gone");
   } else {
     this->StateOf(request->service).waiting.remove(request);
   }
@@ -327,17 +327,17 @@
   this->Finish(request, { {}, ErrorKind::kCallerGone, {} });
 }
 
-void Dispatcher::LeaveUpstream(Request& aRequest, AnswerClass aClass,
+void Dispatcher::LeaveUpstream(Request& aRequest, AttemptResult aClass,
                                const std::optional<UpstreamLoad>& aLoad,
                                std::string_view aWord)
 {
   const TimePoint now = this->hooks.now();
-  this->upstreams.OnAnswer(aRequest.upstream, aRequest.sentAt, aRequest.before,
+  this->upstreams.OnAttemptEnded(aRequest.upstream, aRequest.sentAt, aRequest.before,
                            aClass, aLoad, now);
   aRequest.isRunning = false;
   if (aRequest.isElsewhere) {
     const bool busy =
-      aClass != AnswerClass::kServed || (aLoad && aLoad->waiting > 0);
+      aClass != AttemptResult::kServed || (aLoad && aLoad->waiting > 0);
     this->StateOf(aRequest.service).elsewhere.OnEnded(busy, now);
   }
   --this->running;
@@ -354,7 +354,7 @@
   aRequest.story += std::to_string(aRequest.before);
 }
 
-void Dispatcher::OnAnswer(RequestNumber aNumber, UpstreamAnswer aAnswer)
+void Dispatcher::OnUpstreamResponse(RequestNumber aNumber, UpstreamResponse aAnswer)
 {
   const auto found = this->requests.find(aNumber);
   if (found == this->requests.end() || !found->second->isRunning) {
@@ -364,10 +364,10 @@
   const state::ServiceName service = request->service;
   const int status = aAnswer.message.status;
   if (aAnswer.wrongUpstream) {
-    this->LeaveUpstream(*request, AnswerClass::kRefused, aAnswer.load,
+    this->LeaveUpstream(*request, AttemptResult::kRefused, aAnswer.load,
                         "wrong-upstream");
-    if (!aAnswer.answeredBy.value.empty() &&
-        aAnswer.answeredBy != request->upstream) {
+    if (!aAnswer.respondedBy.value.empty() &&
+        aAnswer.respondedBy != request->upstream) {
       this->upstreams.OnReplaced(request->upstream, request->address,
                                  this->hooks.now());
     } else if (request->caller.key) {
@@ -378,7 +378,7 @@
     }
     this->Resend(request, ErrorKind::kUpstreamFenced);
   } else if (aAnswer.notRun) {
-    this->LeaveUpstream(*request, AnswerClass::kRefused, aAnswer.load,
+    this->LeaveUpstream(*request, AttemptResult::kRefused, aAnswer.load,
                         "refused");
     std::erase(request->tried, request->upstream);
     request->refusedBy = request->upstream;
@@ -388,12 +388,12 @@
       this->Resend(request, ErrorKind::kUpstreamShed);
     }
   } else if (IsSuccess(status) && !aAnswer.isSigned) {
-    this->LeaveUpstream(*request, AnswerClass::kFailed, aAnswer.load,
+    this->LeaveUpstream(*request, AttemptResult::kFailed, aAnswer.load,
                         "unsigned");
     ++request->mayHaveRunAt;
     this->Resend(request, ErrorKind::kUpstreamBroken);
   } else if (IsServerError(status)) {
-    this->LeaveUpstream(*request, AnswerClass::kFailed, aAnswer.load, "failed");
+    this->LeaveUpstream(*request, AttemptResult::kFailed, aAnswer.load, "failed");
     ++request->mayHaveRunAt;
     if (IsIdempotent(request->route->kind) &&
         this->MayResend(*request, ErrorKind::kUpstreamFailed)) {
@@ -402,7 +402,7 @@
       this->Finish(request, { std::move(aAnswer.message), {}, {} });
     }
   } else {
-    this->LeaveUpstream(*request, AnswerClass::kServed, aAnswer.load, "served");
+    this->LeaveUpstream(*request, AttemptResult::kServed, aAnswer.load, "served");
     this->LearnBytes(
       *request, aAnswer.message.length.value_or(aAnswer.message.body.size()));
     this->Finish(request, { std::move(aAnswer.message), {}, {} });
@@ -438,7 +438,7 @@
   const RequestPtr request = found->second;
   const state::ServiceName service = request->service;
   if (aError == TransportError::kCallerGone) {
-    this->LeaveUpstream(*request, AnswerClass::kNotSent, {}, "caller-gone");
+    this->LeaveUpstream(*request, AttemptResult::kNotSent, {}, "caller-gone");
     request->respond = nullptr;
     this->Finish(request, { {}, ErrorKind::kCallerGone, {} });
     this->Pump(service);
@@ -452,7 +452,7 @@
   const ErrorKind kind = KindOf(aError);
   const bool sent = aError != TransportError::kUnreachable;
   this->LeaveUpstream(*request,
-                      sent ? AnswerClass::kFailed : AnswerClass::kUnreachable,
+                      sent ? AttemptResult::kFailed : AttemptResult::kUnreachable,
                       {}, protocol::ErrorInfoFor(kind).name);
   request->mayHaveRunAt += sent ? 1 : 0;
   this->Resend(request, kind);
@@ -482,7 +482,7 @@
 // Nothing left this host, so that it is no further send.
 void Dispatcher::Withdraw(const RequestPtr& aRequest)
 {
-  this->LeaveUpstream(*aRequest, AnswerClass::kNotSent, {}, "withdrawn");
+  this->LeaveUpstream(*aRequest, AttemptResult::kNotSent, {}, "withdrawn");
   std::erase(aRequest->tried, aRequest->upstream);
   --aRequest->sends;
   if (!this->TryPlace(aRequest)) {
@@ -550,7 +550,7 @@
                { {}, aError, RetryAfter(this->Outlook(*aRequest), spread) });
 }
 
-void Dispatcher::Finish(const RequestPtr& aRequest, CallerAnswer aAnswer)
+void Dispatcher::Finish(const RequestPtr& aRequest, CallerResponse aAnswer)
 {
   const TimePoint now = this->hooks.now();
   RequestTrace trace;
@@ -565,7 +565,7 @@
   }
   trace.service = aRequest->service.value;
   trace.key = aRequest->caller.key;
-  trace.sends = aRequest->story;
+  trace.attempts = aRequest->story;
   trace.error = aAnswer.error;
   trace.status = aAnswer.message
                    ? aAnswer.message->status
@@ -592,7 +592,7 @@
   const state::ServiceName service = aRequest->service;
   this->hooks.cancel(aRequest->number);
   ++aRequest->mayHaveRunAt;
-  this->LeaveUpstream(*aRequest, AnswerClass::kAbandoned, {}, "deadline");
+  this->LeaveUpstream(*aRequest, AttemptResult::kAbandoned, {}, "deadline");
   this->Finish(aRequest, { {}, ErrorKind::kUpstreamTimeout, {} });
   this->Pump(service);
 }
--- a/src/routing/internal/upstreams.cpp
+++ b/src/routing/internal/upstreams.cpp
@@ -316,8 +316,8 @@
   }
 }
 
-void Upstreams::OnAnswer(const state::UpstreamId& aId, TimePoint aSent,
-                         int aBefore, AnswerClass aClass,
+void Upstreams::OnAttemptEnded(const state::UpstreamId& aId, TimePoint aSent,
+                         int aBefore, AttemptResult aClass,
                          const std::optional<UpstreamLoad>& aLoad,
                          TimePoint aNow)
 {
@@ -335,7 +335,7 @@
   }
   const double tookMs = ToMs(aNow - aSent);
   switch (aClass) {
-    case AnswerClass::kServed:
+    case AttemptResult::kServed:
       LearnServiceTime(*upstream, OwnMs(*upstream, tookMs, aBefore), 1, aNow);
       ++upstream->freshAnswers;
       upstream->freshSumMs += OwnMs(*upstream, tookMs, aBefore);
@@ -344,28 +344,28 @@
       upstream->fullInARow = 0;
       upstream->ejection = milliseconds(0);
       return;
-    case AnswerClass::kAbandoned:
+    case AttemptResult::kAbandoned:
       // It took at least so long; a shorter time says nothing.
       if (OwnMs(*upstream, tookMs, aBefore) > upstream->serviceMs) {
         LearnServiceTime(*upstream, OwnMs(*upstream, tookMs, aBefore), 1, aNow);
       }
       return;
-    case AnswerClass::kNotSent:
+    case AttemptResult::kNotSent:
       return;
-    case AnswerClass::kRefused:
+    case AttemptResult::kRefused:
       Average(upstream->failureShare, 1, kFailureWeight);
       if (IsFull(aLoad)) {
         ++upstream->fullInARow;
         upstream->fullUntil = aNow + FullFor(*upstream, this->hostCount);
       }
       return;
-    case AnswerClass::kFailed:
-    case AnswerClass::kUnreachable:
+    case AttemptResult::kFailed:
+    case AttemptResult::kUnreachable:
       break;
   }
   Average(upstream->failureShare, 1, kFailureWeight);
   ++upstream->failuresInARow;
-  const int most = aClass == AnswerClass::kUnreachable ? kUnreachableToEject
+  const int most = aClass == AttemptResult::kUnreachable ? kUnreachableToEject
                                                        : kFailuresToEject;
   if (upstream->failuresInARow >= most && upstream->ejectedUntil <= aNow) {
     Eject(*upstream, aNow);
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -183,9 +183,9 @@
   void testUnsignedSuccessIsNone()
   {
     const auto number = this->Ask("/book/1");
-    UpstreamAnswer answer;
+    UpstreamResponse answer;
     answer.message.status = 200;
-    this->dispatcher->OnAnswer(number, answer);
+    this->dispatcher->OnUpstreamResponse(number, answer);
     CPPUNIT_ASSERT(this->OutcomeOf(number) == Outcome::kUnknown);
   }
 
@@ -422,12 +422,12 @@
   {
     const auto number = this->Ask("/look/1");
     const state::UpstreamId first = this->sends[0].upstream;
-    UpstreamAnswer answer;
+    UpstreamResponse answer;
     answer.message.status = 421;
     answer.notRun = true;
     answer.wrongUpstream = true;
-    answer.answeredBy = { "other" };
-    this->dispatcher->OnAnswer(number, answer);
+    answer.respondedBy = { "other" };
+    this->dispatcher->OnUpstreamResponse(number, answer);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 2 }, this->sends.size());
     CPPUNIT_ASSERT(this->upstreams.Find(first) == nullptr);
   }
@@ -526,10 +526,10 @@
     this->Teach("archeb", 100);
     this->AddUpstream("a1", "archeb", "abertawe");
     this->AddUpstream("a2", "archeb", "abertawe");
-    UpstreamAnswer large;
+    UpstreamResponse large;
     large.message.length = 90'000;
     large.isSigned = true;
-    this->dispatcher->OnAnswer(this->Ask("/look/1"), large);
+    this->dispatcher->OnUpstreamResponse(this->Ask("/look/1"), large);
     this->upstreams.OnPeer({ "h1" }, { { { "a0" }, 4, 0, 0 } }, this->now);
     this->sends.clear();
     const auto served = this->Ask("/look/1");
@@ -588,14 +588,14 @@
       this->Ask("/look/1");
     }
     const auto elsewhere = [&] {
-      return std::ranges::count_if(this->sends, [&](const UpstreamSend& aSend) {
+      return std::ranges::count_if(this->sends, [&](const UpstreamRequest& aSend) {
         return aSend.upstream != own->entry.id;
       });
     };
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 5 }, this->sends.size());
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{ 1 }, elsewhere());
     const auto borrowed =
-      std::ranges::find_if(this->sends, [&](const UpstreamSend& aSend) {
+      std::ranges::find_if(this->sends, [&](const UpstreamRequest& aSend) {
         return aSend.upstream != own->entry.id;
       });
     this->Answer(borrowed->number, 200);
@@ -704,7 +704,7 @@
     Dispatcher::Hooks hooks;
     hooks.now = [this] { return this->now; };
     hooks.random = [this](std::size_t aBelow) { return this->dice++ % aBelow; };
-    hooks.send = [this](const UpstreamSend& aSend) {
+    hooks.send = [this](const UpstreamRequest& aSend) {
       this->sends.push_back(aSend);
     };
     hooks.cancel = [this](RequestNumber aNumber) {
@@ -772,12 +772,12 @@
     request.hostName = "tents";
     request.key = aKey;
     request.arrived = this->now;
-    request.patience = aPatience;
+    request.timeout = aPatience;
     // An answer may come before the number is known here.
     auto number = std::make_shared<RequestNumber>(0);
-    auto early = std::make_shared<std::optional<CallerAnswer>>();
+    auto early = std::make_shared<std::optional<CallerResponse>>();
     *number = this->dispatcher->OnRequest(
-      std::move(request), [this, number, early](CallerAnswer aAnswer) {
+      std::move(request), [this, number, early](CallerResponse aAnswer) {
         if (*number == 0) {
           *early = std::move(aAnswer);
         } else {
@@ -792,11 +792,11 @@
 
   void Answer(RequestNumber aNumber, int aStatus, bool aNotRun = false)
   {
-    UpstreamAnswer answer;
+    UpstreamResponse answer;
     answer.message.status = aStatus;
     answer.notRun = aNotRun;
     answer.isSigned = true;
-    this->dispatcher->OnAnswer(aNumber, std::move(answer));
+    this->dispatcher->OnUpstreamResponse(aNumber, std::move(answer));
   }
 
   // Upstreams that refused as full may be asked again.
@@ -817,9 +817,9 @@
   Upstreams upstreams;
   std::optional<Dispatcher> dispatcher;
   KeyOwner owner;
-  std::vector<UpstreamSend> sends;
+  std::vector<UpstreamRequest> sends;
   std::vector<RequestNumber> cancelled;
-  std::map<RequestNumber, CallerAnswer> answers;
+  std::map<RequestNumber, CallerResponse> answers;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(DispatcherTest);
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadworld.h
@@ -248,7 +248,7 @@
       return std::uniform_int_distribution<std::size_t>(0, aBelow -
                                                              1)(this->random);
     };
-    hooks.send = [this, &aHost](const UpstreamSend& aSend) {
+    hooks.send = [this, &aHost](const UpstreamRequest& aSend) {
       Upstream& upstream = this->upstreams.at(aSend.upstream);
       this->After(TripTo(aHost, upstream),
                   [this, &aHost, &upstream, number = aSend.number] {
@@ -313,7 +313,7 @@
 
   void Return(Upstream& aUpstream, const Job& aJob, bool aNotRun)
   {
-    UpstreamAnswer answer;
+    UpstreamResponse answer;
     answer.message.status = aNotRun ? 503 : 200;
     answer.message.length =
       static_cast<std::uint64_t>(this->options.answerBytes);
@@ -326,7 +326,7 @@
     const bool isFar = aJob.host->dataCentre != aUpstream.entry.dataCentre;
     this->After(TripTo(*aJob.host, aUpstream), [this, aJob, isFar, answer] {
       this->answerIsFar = isFar;
-      aJob.host->dispatcher->OnAnswer(aJob.number, answer);
+      aJob.host->dispatcher->OnUpstreamResponse(aJob.number, answer);
     });
   }
 
@@ -394,16 +394,16 @@
     request.hostName = "h";
     request.id = "r";
     request.arrived = this->now;
-    request.patience = std::chrono::duration_cast<milliseconds>(
+    request.timeout = std::chrono::duration_cast<milliseconds>(
       aCaller.first + this->options.deadline - this->now);
     request.key = aCaller.key;
     near[host(this->random)]->dispatcher->OnRequest(
-      std::move(request), [this, aCaller](const CallerAnswer& aAnswer) {
+      std::move(request), [this, aCaller](const CallerResponse& aAnswer) {
         this->OnCallerAnswer(aCaller, aAnswer);
       });
   }
 
-  void OnCallerAnswer(Caller aCaller, const CallerAnswer& aAnswer)
+  void OnCallerAnswer(Caller aCaller, const CallerResponse& aAnswer)
   {
     const Duration left = aCaller.first + this->options.deadline - this->now;
     const bool mayReturn = this->options.callersReturn &&
@@ -418,7 +418,7 @@
     this->Count(aCaller, aAnswer);
   }
 
-  void Count(const Caller& aCaller, const CallerAnswer& aAnswer)
+  void Count(const Caller& aCaller, const CallerResponse& aAnswer)
   {
     if (aAnswer.message) {
       const bool inTime = this->now - aCaller.first <= this->options.target;
--- a/src/routing/tests/upstreams_test.cpp
+++ b/src/routing/tests/upstreams_test.cpp
@@ -91,7 +91,7 @@
   {
     this->Put(1, false);
     this->upstreams.OnSent({ "u" }, this->now);
-    this->upstreams.OnAnswer({ "u" }, this->now, 0, AnswerClass::kUnreachable,
+    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, AttemptResult::kUnreachable,
                              {}, this->now);
     CPPUNIT_ASSERT(!HasRoom(*this->upstreams.Find({ "u" }), this->now));
     this->Put(2, false);
@@ -119,14 +119,14 @@
   void testUnreachableUpstreamRests()
   {
     this->Put(1, false);
-    this->Fail(AnswerClass::kUnreachable);
+    this->Fail(AttemptResult::kUnreachable);
     CPPUNIT_ASSERT(!HasRoom(*this->upstreams.Find({ "u" }), this->now));
     this->now += milliseconds(400);
     const UpstreamState& state = *this->upstreams.Find({ "u" });
     CPPUNIT_ASSERT(HasRoom(state, this->now));
     this->upstreams.OnSent({ "u" }, this->now);
     CPPUNIT_ASSERT(!HasRoom(state, this->now));
-    this->upstreams.OnAnswer({ "u" }, this->now, 0, AnswerClass::kServed, {},
+    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, AttemptResult::kServed, {},
                              this->now + milliseconds(50));
     this->upstreams.OnSent({ "u" }, this->now);
     CPPUNIT_ASSERT(HasRoom(state, this->now));
@@ -210,7 +210,7 @@
   void Serve(const std::string& aId, milliseconds aTook)
   {
     this->upstreams.OnSent({ aId }, this->now);
-    this->upstreams.OnAnswer({ aId }, this->now, 0, AnswerClass::kServed, {},
+    this->upstreams.OnAttemptEnded({ aId }, this->now, 0, AttemptResult::kServed, {},
                              this->now + aTook);
   }
 
@@ -246,10 +246,10 @@
     this->upstreams.Put(entry, this->now);
   }
 
-  void Fail(AnswerClass aClass)
+  void Fail(AttemptResult aClass)
   {
     this->upstreams.OnSent({ "u" }, this->now);
-    this->upstreams.OnAnswer({ "u" }, this->now, 0, aClass, {}, this->now);
+    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, aClass, {}, this->now);
   }
 
   Upstreams upstreams;
--- a/src/routing/upstreams.h
+++ b/src/routing/upstreams.h
@@ -60,7 +60,7 @@
 };
 
 // How a request ended at an upstream, as far as it tells of the upstream.
-enum class AnswerClass
+enum class AttemptResult
 {
   kServed,
   // It said that it did not run the request.
@@ -204,8 +204,8 @@
   void OnSent(const state::UpstreamId& aId, TimePoint aNow);
   // aSent is the time given to OnSent; aWaited how many requests stood before
   // it, those running included.
-  void OnAnswer(const state::UpstreamId& aId, TimePoint aSent, int aBefore,
-                AnswerClass aClass, const std::optional<UpstreamLoad>& aLoad,
+  void OnAttemptEnded(const state::UpstreamId& aId, TimePoint aSent, int aBefore,
+                AttemptResult aClass, const std::optional<UpstreamLoad>& aLoad,
                 TimePoint aNow);
   // Another upstream answers at its address.
   void OnReplaced(const state::UpstreamId& aId, const std::string& aAddress,
