--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -251,7 +251,7 @@
       this->upstreamClient->Cancel(call->second);
     }
   };
-  hooks.owner = [this](const state::ServiceName& aService, routing::Key aKey) {
+  hooks.findOwner = [this](const state::ServiceName& aService, routing::Key aKey) {
     const ownership::KeyMap* map = this->keys->MapOf(aService);
     if (map == nullptr) {
       return routing::KeyOwner{};
@@ -260,16 +260,16 @@
     const ownership::KeyMap::Owner owner = map->OwnerOf(aKey, now);
     return routing::KeyOwner{ owner.upstream, now - owner.since };
   };
-  hooks.notOwner = [this](const state::ServiceName& aService, routing::Key aKey,
+  hooks.reportNotOwner = [this](const state::ServiceName& aService, routing::Key aKey,
                           const state::UpstreamId&) {
     if (ownership::KeyMap* map = this->keys->MapOf(aService)) {
       map->OnNotOwner(aKey, BootTime());
     }
   };
-  hooks.ended = [this](const routing::RequestTrace& aTrace) {
+  hooks.onRequestEnded = [this](const routing::RequestTrace& aTrace) {
     this->OnEnded(aTrace);
   };
-  hooks.resent = [this](ErrorKind aWhy) { this->resends.Add(aWhy); };
+  hooks.onRetry = [this](ErrorKind aWhy) { this->resends.Add(aWhy); };
   return hooks;
 }
 
@@ -310,7 +310,7 @@
     }
   };
   hooks.changed = [this] {
-    this->dispatcher->OnChange();
+    this->dispatcher->RecheckWaitingRequests();
     this->ArmDispatcher();
   };
   hooks.log = [this](std::string_view aService, std::string_view aWhat,
@@ -359,7 +359,7 @@
   const routing::RequestNumber number = aSend.number;
   HttpRequest request = platform::MakeUpstreamRequest(aSend);
   request.isStillValid = [this, number] {
-    return this->dispatcher->IsSendValid(number);
+    return this->dispatcher->IsTargetStillValid(number);
   };
   const auto call = this->upstreamClient->Send(
     aSend.address, std::move(request), aSend.timeout,
@@ -498,7 +498,7 @@
   std::this_thread::sleep_until(start + kUntilDrain);
   this->callerServer->Drain();
   std::this_thread::sleep_until(start + kUntilRefusal);
-  this->serving.Hand([this] { this->dispatcher->StopTaking(); });
+  this->serving.Hand([this] { this->dispatcher->StopAccepting(); });
   std::this_thread::sleep_until(start + kUntilClose);
   this->callerServer->StopAccepting();
   const auto waitUntil = [this](TimePoint aLatest) {
@@ -508,7 +508,7 @@
   };
   waitUntil(latest);
   if (this->callerServer->Connections() > 0) {
-    this->serving.Hand([this] { this->dispatcher->GiveUpAll(); });
+    this->serving.Hand([this] { this->dispatcher->EndAllRequests(); });
     waitUntil(latest + kLastAnswers);
   }
   const bool clean = this->callerServer->Busy() == 0;
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -286,7 +286,7 @@
 void Gateway::Impl::SendDigests()
 {
   const Neighbours::Due due = this->neighbours.TakeDue(
-    this->reachable, this->dispatcher->TakenAndEnded());
+    this->reachable, this->dispatcher->LoadChangeCount());
   this->keys->OnUses(this->keys->TakeUses(this->self.host));
   if (due.mates.empty() && due.others.empty()) {
     return;
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -115,7 +115,7 @@
     this->ApplyConfiguration(row->second);
   }
   this->keys->OnUpstreams();
-  this->dispatcher->OnChange();
+  this->dispatcher->RecheckWaitingRequests();
   this->ArmDispatcher();
 }
 
@@ -203,7 +203,7 @@
     }
   }
   this->keys->OnUpstreams();
-  this->dispatcher->OnChange();
+  this->dispatcher->RecheckWaitingRequests();
   this->ArmDispatcher();
 }
 
@@ -214,9 +214,9 @@
     this->metrics.GetOrCreateGauge(aName, aHelp).Set(aValue);
   };
   set("kumquat_waiting", "Requests that wait for an upstream.",
-      static_cast<std::int64_t>(this->dispatcher->Waiting()));
+      static_cast<std::int64_t>(this->dispatcher->WaitingCount()));
   set("kumquat_running", "Requests that run at upstreams.",
-      static_cast<std::int64_t>(this->dispatcher->Running()));
+      static_cast<std::int64_t>(this->dispatcher->RunningCount()));
   set("kumquat_peers", "Peers heard within the last second.",
       static_cast<std::int64_t>(this->peers.Live().size()));
   set("kumquat_store_well", "1 where the store answers.",
--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -104,7 +104,7 @@
   // Empty while nobody may be sent the key.
   state::UpstreamId upstream;
   // For how long that has been so.
-  Duration since{ 0 };
+  Duration unchangedFor{ 0 };
 };
 
 struct DispatcherOptions
@@ -128,13 +128,13 @@
     std::function<void(const UpstreamRequest&)> send;
     // Closes the connection of a running send; no answer comes after it.
     std::function<void(RequestNumber)> cancel;
-    std::function<KeyOwner(const state::ServiceName&, Key)> owner;
+    std::function<KeyOwner(const state::ServiceName&, Key)> findOwner;
     // The upstream said that the key is not its own.
     std::function<void(const state::ServiceName&, Key,
                        const state::UpstreamId&)>
-      notOwner;
-    std::function<void(const RequestTrace&)> ended;
-    std::function<void(protocol::ErrorKind)> resent;
+      reportNotOwner;
+    std::function<void(const RequestTrace&)> onRequestEnded;
+    std::function<void(protocol::ErrorKind)> onRetry;
   };
 
   using Respond = std::function<void(CallerResponse)>;
@@ -154,10 +154,10 @@
 
   // The host is about to end: what comes from now on could be cut off in the
   // middle, and is refused as surely not run.
-  void StopTaking() { this->takes = false; }
+  void StopAccepting() { this->takes = false; }
   // The host ends now. All requests get an answer of ours, so that answers that
   // are ready and stand behind them in a connection get out.
-  void GiveUpAll();
+  void EndAllRequests();
 
   RequestNumber OnRequest(CallerRequest aRequest, Respond aRespond);
   // The caller has closed its connection.
@@ -166,19 +166,19 @@
   void OnSendFailed(RequestNumber aNumber, transport::TransportError aError);
   // Whether the upstream that was chosen may still be sent the request, which
   // waits for a connection: it may have left, or lost the key, meanwhile.
-  bool IsSendValid(RequestNumber aNumber) const;
+  bool IsTargetStillValid(RequestNumber aNumber) const;
   // Something changed that waiting requests may have waited for.
-  void OnChange();
+  void RecheckWaitingRequests();
   void OnTimer();
   // When OnTimer is due next.
   std::optional<TimePoint> NextDue() const;
 
-  std::size_t Waiting() const;
+  std::size_t WaitingCount() const;
   // Requests that only one upstream may serve, by that one.
   std::map<state::UpstreamId, int> WaitingByOwner() const;
-  std::size_t Running() const { return this->running; }
+  std::size_t RunningCount() const { return this->running; }
   // Sends to upstreams and ends of those, since the start.
-  std::int64_t TakenAndEnded() const { return this->changes; }
+  std::int64_t LoadChangeCount() const { return this->changes; }
 
 private:
   struct Request;
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -371,7 +371,7 @@
       this->upstreams.OnReplaced(request->upstream, request->address,
                                  this->hooks.now());
     } else if (request->caller.key) {
-      this->hooks.notOwner(service, *request->caller.key, request->upstream);
+      this->hooks.reportNotOwner(service, *request->caller.key, request->upstream);
       // The same upstream may be its owner again.
       std::erase(request->tried, request->upstream);
       request->notBefore = this->hooks.now() + kMovingPause;
@@ -459,7 +459,7 @@
   this->Pump(service);
 }
 
-bool Dispatcher::IsSendValid(RequestNumber aNumber) const
+bool Dispatcher::IsTargetStillValid(RequestNumber aNumber) const
 {
   const auto found = this->requests.find(aNumber);
   if (found == this->requests.end() || !found->second->isRunning) {
@@ -475,7 +475,7 @@
     return true;
   }
   const state::UpstreamId owner =
-    this->hooks.owner(request.service, *request.caller.key).upstream;
+    this->hooks.findOwner(request.service, *request.caller.key).upstream;
   return owner.value.empty() || owner == request.upstream;
 }
 
@@ -517,7 +517,7 @@
   if (aWhy != ErrorKind::kUpstreamUnreachable) {
     static_cast<void>(this->StateOf(aRequest->service).budget.Spend());
   }
-  this->hooks.resent(aWhy);
+  this->hooks.onRetry(aWhy);
   if (!this->TryPlace(aRequest)) {
     this->Enqueue(aRequest);
   }
@@ -574,7 +574,7 @@
                                            : aRequest->waited);
   trace.took = ToMs(now - aRequest->caller.arrived);
   trace.configuration = aRequest->routes->CurrentConfiguration().version;
-  this->hooks.ended(trace);
+  this->hooks.onRequestEnded(trace);
   if (aRequest->respond) {
     const Respond respond = std::move(aRequest->respond);
     aRequest->respond = nullptr;
@@ -597,7 +597,7 @@
   this->Pump(service);
 }
 
-void Dispatcher::GiveUpAll()
+void Dispatcher::EndAllRequests()
 {
   this->takes = false;
   std::vector<RequestPtr> left;
@@ -611,7 +611,7 @@
   }
 }
 
-void Dispatcher::OnChange()
+void Dispatcher::RecheckWaitingRequests()
 {
   for (const auto& [name, service] : this->services) {
     for (const RequestPtr& request : service->waiting) {
@@ -652,7 +652,7 @@
   return due;
 }
 
-std::size_t Dispatcher::Waiting() const
+std::size_t Dispatcher::WaitingCount() const
 {
   return std::accumulate(this->services.begin(), this->services.end(),
                          std::size_t{ 0 },
--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -82,11 +82,11 @@
   ServiceOutlook outlook;
   outlook.usualMs = this->UsualMs(aRequest.service);
   const KeyOwner owner =
-    this->hooks.owner(aRequest.service, *aRequest.caller.key);
+    this->hooks.findOwner(aRequest.service, *aRequest.caller.key);
   const UpstreamState* one = this->upstreams.Find(owner.upstream);
   if (one == nullptr || !this->upstreams.MayUse(*one)) {
     outlook.queued = 1;
-    outlook.perSecond = owner.since < kMoveTakes ? 1000.0 / outlook.usualMs : 0;
+    outlook.perSecond = owner.unchangedFor < kMoveTakes ? 1000.0 / outlook.usualMs : 0;
     return outlook;
   }
   const TimePoint now = this->hooks.now();
@@ -118,7 +118,7 @@
   for (const auto& [name, service] : this->services) {
     for (const RequestPtr& request : service->waiting) {
       if (this->IsKeyed(*request)) {
-        ++counts[this->hooks.owner(name, *request->caller.key).upstream];
+        ++counts[this->hooks.findOwner(name, *request->caller.key).upstream];
       }
     }
   }
@@ -160,7 +160,7 @@
 const UpstreamState* Dispatcher::ChooseOwner(const Request& aRequest)
 {
   const UpstreamState* one = this->upstreams.Find(
-    this->hooks.owner(aRequest.service, *aRequest.caller.key).upstream);
+    this->hooks.findOwner(aRequest.service, *aRequest.caller.key).upstream);
   return one != nullptr && this->upstreams.MayUse(*one) &&
              HasRoom(*one, this->hooks.now()) &&
              this->IsAllowedCold(aRequest, *one)
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -305,7 +305,7 @@
     CPPUNIT_ASSERT(!this->answers.contains(number));
     this->now += milliseconds(100);
     this->owner = KeyOwner{ { "s2" }, milliseconds(0) };
-    this->dispatcher->OnChange();
+    this->dispatcher->RecheckWaitingRequests();
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, this->sends.size());
     CPPUNIT_ASSERT_EQUAL(std::string("s2"), this->sends[0].upstream.value);
   }
@@ -321,7 +321,7 @@
       this->Ask("/stock/1", milliseconds(1200), 7);
     }
     CPPUNIT_ASSERT(this->answers.empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 4 }, this->dispatcher->Waiting());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 4 }, this->dispatcher->WaitingCount());
     CPPUNIT_ASSERT_EQUAL(4, this->dispatcher->WaitingByOwner().at({ "s0" }));
   }
 
@@ -363,11 +363,11 @@
   {
     const auto number = this->Ask("/book/1");
     const state::UpstreamId first = this->sends.back().upstream;
-    CPPUNIT_ASSERT(this->dispatcher->IsSendValid(number));
+    CPPUNIT_ASSERT(this->dispatcher->IsTargetStillValid(number));
     UpstreamEntry entry = this->upstreams.Find(first)->entry;
     entry.leaving = true;
     this->upstreams.Put(entry, this->now);
-    CPPUNIT_ASSERT(!this->dispatcher->IsSendValid(number));
+    CPPUNIT_ASSERT(!this->dispatcher->IsTargetStillValid(number));
     this->dispatcher->OnSendFailed(number, TransportError::kWithdrawn);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 2 }, this->sends.size());
     CPPUNIT_ASSERT(this->sends.back().upstream != first);
@@ -384,9 +384,9 @@
     this->owner = KeyOwner{ { "s0" }, {} };
     const auto number = this->Ask("/stock/1", milliseconds(1200), Key{ 5 });
     this->owner = KeyOwner{ {}, {} };
-    CPPUNIT_ASSERT(this->dispatcher->IsSendValid(number));
+    CPPUNIT_ASSERT(this->dispatcher->IsTargetStillValid(number));
     this->owner = KeyOwner{ { "s1" }, {} };
-    CPPUNIT_ASSERT(!this->dispatcher->IsSendValid(number));
+    CPPUNIT_ASSERT(!this->dispatcher->IsTargetStillValid(number));
     this->dispatcher->OnSendFailed(number, TransportError::kWithdrawn);
     CPPUNIT_ASSERT_EQUAL(std::string("s1"), this->sends.back().upstream.value);
   }
@@ -439,7 +439,7 @@
   void testStoppingHostTakesNothingNew()
   {
     const auto before = this->Ask("/look/1");
-    this->dispatcher->StopTaking();
+    this->dispatcher->StopAccepting();
     const auto late = this->Ask("/look/2");
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, this->sends.size());
     CPPUNIT_ASSERT(this->OutcomeOf(late) == Outcome::kNotRun);
@@ -457,7 +457,7 @@
     const auto book = this->Ask("/book/1");
     this->owner = KeyOwner{ {}, milliseconds(20) };
     const auto waiting = this->Ask("/stock/1", milliseconds(1200), Key{ 5 });
-    this->dispatcher->GiveUpAll();
+    this->dispatcher->EndAllRequests();
     CPPUNIT_ASSERT(this->OutcomeOf(look) == Outcome::kUnknown);
     CPPUNIT_ASSERT(this->OutcomeOf(book) == Outcome::kUnknown);
     CPPUNIT_ASSERT(this->OutcomeOf(waiting) == Outcome::kNotRun);
@@ -710,13 +710,13 @@
     hooks.cancel = [this](RequestNumber aNumber) {
       this->cancelled.push_back(aNumber);
     };
-    hooks.owner = [this](const state::ServiceName&, Key) {
+    hooks.findOwner = [this](const state::ServiceName&, Key) {
       return this->owner;
     };
-    hooks.notOwner = [](const state::ServiceName&, Key,
+    hooks.reportNotOwner = [](const state::ServiceName&, Key,
                         const state::UpstreamId&) {};
-    hooks.ended = [](const RequestTrace&) {};
-    hooks.resent = [this](ErrorKind) { ++this->resent; };
+    hooks.onRequestEnded = [](const RequestTrace&) {};
+    hooks.onRetry = [this](ErrorKind) { ++this->resent; };
     this->dispatcher.emplace(
       DispatcherOptions{ { "h0" }, { "caerdydd" }, 0.1, 20 }, this->upstreams,
       hooks);
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadworld.h
@@ -256,15 +256,15 @@
                   });
     };
     hooks.cancel = [](RequestNumber) {};
-    hooks.owner = [this](const state::ServiceName&, Key aKey) {
+    hooks.findOwner = [this](const state::ServiceName&, Key aKey) {
       auto owner = this->upstreams.begin();
       std::advance(owner, aKey % this->upstreams.size());
       return KeyOwner{ owner->first, Duration(0) };
     };
-    hooks.notOwner = [](const state::ServiceName&, Key,
+    hooks.reportNotOwner = [](const state::ServiceName&, Key,
                         const state::UpstreamId&) {};
-    hooks.ended = [](const RequestTrace&) {};
-    hooks.resent = [](protocol::ErrorKind) {};
+    hooks.onRequestEnded = [](const RequestTrace&) {};
+    hooks.onRetry = [](protocol::ErrorKind) {};
     return hooks;
   }
 
