--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -13,7 +13,7 @@
 #include "protocol/errorkind.h"
 #include "routing/coldratelimiter.h"
 #include "routing/configuration.h"
-#include "routing/placing.h"
+#include "routing/placement.h"
 #include "routing/upstreams.h"
 #include "routing/waiting.h"
 #include "transport/http.h"
@@ -197,12 +197,12 @@
   bool TryPlace(const RequestPtr& aRequest);
   const UpstreamState* Choose(const Request& aRequest);
   const UpstreamState* ChooseOwner(const Request& aRequest);
-  bool KeepsNear(const Request& aRequest, const PlacingQuestion& aQuestion);
+  bool KeepsNear(const Request& aRequest, const PlacementContext& aQuestion);
   const UpstreamState* ChooseElsewhere(const Request& aRequest,
-                                       const PlacingQuestion& aQuestion);
+                                       const PlacementContext& aQuestion);
   const UpstreamState* Draw(const std::vector<UpstreamState*>& aFrom,
-                            const PlacingQuestion& aQuestion);
-  PlacingQuestion Question(const Request& aRequest);
+                            const PlacementContext& aQuestion);
+  PlacementContext Question(const Request& aRequest);
   bool IsAllowedCold(const Request& aRequest, const UpstreamState& aOne) const;
   void Send(const RequestPtr& aRequest, const UpstreamState& aUpstream);
   void Enqueue(const RequestPtr& aRequest);
--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -24,7 +24,7 @@
 
 // Leaves out those of other data centres where one at hand serves.
 void KeepOnlyNear(std::vector<UpstreamState*>& aCandidates,
-                  const PlacingQuestion& aQuestion)
+                  const PlacementContext& aQuestion)
 {
   const auto isNear = [&aQuestion](const UpstreamState* aOne) {
     return aOne->entry.dataCentre == aQuestion.dataCentre &&
@@ -149,11 +149,11 @@
   std::erase_if(candidates, [&](const UpstreamState* aOne) {
     return !this->IsAllowedCold(aRequest, *aOne);
   });
-  const PlacingQuestion question = this->Question(aRequest);
+  const PlacementContext question = this->Question(aRequest);
   if (this->KeepsNear(aRequest, question)) {
     KeepOnlyNear(candidates, question);
   }
-  const UpstreamState* near = Place(candidates, question, this->hooks.random);
+  const UpstreamState* near = ChooseUpstream(candidates, question, this->hooks.random);
   return near != nullptr ? near : this->ChooseElsewhere(aRequest, question);
 }
 
@@ -162,7 +162,7 @@
   const UpstreamState* one = this->upstreams.Find(
     this->hooks.findOwner(aRequest.service, *aRequest.caller.key).upstream);
   return one != nullptr && this->upstreams.MayUse(*one) &&
-             HasRoom(*one, this->hooks.now()) &&
+             HasCapacity(*one, this->hooks.now()) &&
              this->IsAllowedCold(aRequest, *one)
            ? one
            : nullptr;
@@ -171,7 +171,7 @@
 // Bytes between data centres are paid for, and a large answer's cost more than
 // a short wait: it comes from afar only when waiting on would make it late.
 bool Dispatcher::KeepsNear(const Request& aRequest,
-                           const PlacingQuestion& aQuestion)
+                           const PlacementContext& aQuestion)
 {
   constexpr double kLargeBytes = 20'000;
   return aQuestion.bytes >= kLargeBytes &&
@@ -183,7 +183,7 @@
 // otherwise go through hundreds for each request that waits. Cold ones are fed
 // by their own cell alone, which keeps their pace exact.
 const UpstreamState* Dispatcher::ChooseElsewhere(
-  const Request& aRequest, const PlacingQuestion& aQuestion)
+  const Request& aRequest, const PlacementContext& aQuestion)
 {
   const TimePoint now = this->hooks.now();
   const std::vector<UpstreamState*>& others =
@@ -204,7 +204,7 @@
 }
 
 const UpstreamState* Dispatcher::Draw(const std::vector<UpstreamState*>& aFrom,
-                                      const PlacingQuestion& aQuestion)
+                                      const PlacementContext& aQuestion)
 {
   constexpr std::size_t kDrawn = 6;
   std::vector<UpstreamState*> candidates;
@@ -214,12 +214,12 @@
       candidates.push_back(one);
     }
   }
-  return Place(candidates, aQuestion, this->hooks.random);
+  return ChooseUpstream(candidates, aQuestion, this->hooks.random);
 }
 
-PlacingQuestion Dispatcher::Question(const Request& aRequest)
+PlacementContext Dispatcher::Question(const Request& aRequest)
 {
-  PlacingQuestion question;
+  PlacementContext question;
   question.now = this->hooks.now();
   question.dataCentre = this->options.dataCentre;
   question.tried = aRequest.tried;
--- a/src/routing/internal/placing.cpp
+++ b/src/routing/internal/placement.cpp
@@ -1,6 +1,6 @@
 // Expected times, and the choice among them.
 
-#include "routing/placing.h"
+#include "routing/placement.h"
 
 #include <algorithm>
 #include <chrono>
@@ -53,7 +53,7 @@
 } // namespace
 
 double ExpectedMs(const UpstreamState& aUpstream,
-                  const PlacingQuestion& aQuestion)
+                  const PlacementContext& aQuestion)
 {
   double own = ServiceMsNow(aUpstream, kShareWhereUnknown * aQuestion.usualMs,
                             aQuestion.now);
@@ -68,7 +68,7 @@
   return own * rounds * (1.0 + kFailureCost * aUpstream.failureShare);
 }
 
-bool HasRoom(const UpstreamState& aUpstream, TimePoint aNow)
+bool HasCapacity(const UpstreamState& aUpstream, TimePoint aNow)
 {
   if (aUpstream.ejectedUntil > aNow || aUpstream.fullUntil > aNow) {
     return false;
@@ -79,14 +79,14 @@
   return aUpstream.Outstanding() < aUpstream.entry.slots + kAhead;
 }
 
-const UpstreamState* Place(const std::vector<UpstreamState*>& aCandidates,
-                           const PlacingQuestion& aQuestion,
+const UpstreamState* ChooseUpstream(const std::vector<UpstreamState*>& aCandidates,
+                           const PlacementContext& aQuestion,
                            const RandomBelow& aRandom)
 {
   std::vector<const UpstreamState*> open;
   std::ranges::copy_if(aCandidates, std::back_inserter(open),
                        [&aQuestion](const UpstreamState* aOne) {
-                         return HasRoom(*aOne, aQuestion.now) &&
+                         return HasCapacity(*aOne, aQuestion.now) &&
                                 std::ranges::find(aQuestion.tried,
                                                   aOne->entry.id) ==
                                   aQuestion.tried.end();
--- a/src/routing/placing.h
+++ b/src/routing/placement.h
@@ -13,7 +13,7 @@
 
 using RandomBelow = std::function<std::size_t(std::size_t)>;
 
-struct PlacingQuestion
+struct PlacementContext
 {
   TimePoint now;
   // The host's own.
@@ -31,17 +31,17 @@
 // How long a request sent now would take there, in milliseconds: the wait for a
 // slot and its own time.
 double ExpectedMs(const UpstreamState& aUpstream,
-                  const PlacingQuestion& aQuestion);
+                  const PlacementContext& aQuestion);
 
 // More work than this there would only wait: it is kept at the host, where the
 // most urgent goes first and what is too late is told so.
-bool HasRoom(const UpstreamState& aUpstream, TimePoint aNow);
+bool HasCapacity(const UpstreamState& aUpstream, TimePoint aNow);
 
 // Null where none has room. Of a few candidates drawn at random the one with
 // the shortest expected time is taken: what a host knows of its peers' requests
 // is up to a digest old, and if all took the best they would meet there.
-const UpstreamState* Place(const std::vector<UpstreamState*>& aCandidates,
-                           const PlacingQuestion& aQuestion,
+const UpstreamState* ChooseUpstream(const std::vector<UpstreamState*>& aCandidates,
+                           const PlacementContext& aQuestion,
                            const RandomBelow& aRandom);
 
 } // namespace kumquat::routing
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -478,14 +478,14 @@
       states[i].learntAt = this->now;
       candidates.push_back(&states[i]);
     }
-    PlacingQuestion question;
+    PlacementContext question;
     question.now = this->now;
     question.dataCentre = { "near" };
     const RandomBelow zero = [](std::size_t) { return std::size_t{ 0 }; };
     question.bytes = 90'000;
-    CPPUNIT_ASSERT(Place(candidates, question, zero) == &states[0]);
+    CPPUNIT_ASSERT(ChooseUpstream(candidates, question, zero) == &states[0]);
     question.bytes = 1000;
-    CPPUNIT_ASSERT(Place(candidates, question, zero) != &states[0]);
+    CPPUNIT_ASSERT(ChooseUpstream(candidates, question, zero) != &states[0]);
   }
 
   // Bookings of 9 KB, one near upstream and eleven as idle in other data
@@ -502,7 +502,7 @@
       states[i].serviceMs = 100;
       candidates.push_back(&states[i]);
     }
-    PlacingQuestion question;
+    PlacementContext question;
     question.now = this->now;
     question.dataCentre = { "near" };
     question.bytes = 9000;
@@ -511,11 +511,11 @@
       return std::uniform_int_distribution<std::size_t>(0, aBelow - 1)(random);
     };
     for (int i = 0; i < 200; ++i) {
-      CPPUNIT_ASSERT(Place(candidates, question, below) == &states[0]);
+      CPPUNIT_ASSERT(ChooseUpstream(candidates, question, below) == &states[0]);
     }
     // A near one that is full is no reason to wait.
     states[0].runningOfPeers = 4;
-    CPPUNIT_ASSERT(Place(candidates, question, below) != &states[0]);
+    CPPUNIT_ASSERT(ChooseUpstream(candidates, question, below) != &states[0]);
   }
 
   // A crew pulls a photo bundle of 90 KB while the near upstream is full for a
--- a/src/routing/tests/upstreams_test.cpp
+++ b/src/routing/tests/upstreams_test.cpp
@@ -1,7 +1,7 @@
 // What a host knows of upstreams, and routes.
 
 #include "routing/configuration.h"
-#include "routing/placing.h"
+#include "routing/placement.h"
 #include "routing/upstreams.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -93,9 +93,9 @@
     this->upstreams.OnSent({ "u" }, this->now);
     this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, AttemptResult::kUnreachable,
                              {}, this->now);
-    CPPUNIT_ASSERT(!HasRoom(*this->upstreams.Find({ "u" }), this->now));
+    CPPUNIT_ASSERT(!HasCapacity(*this->upstreams.Find({ "u" }), this->now));
     this->Put(2, false);
-    CPPUNIT_ASSERT(HasRoom(*this->upstreams.Find({ "u" }), this->now));
+    CPPUNIT_ASSERT(HasCapacity(*this->upstreams.Find({ "u" }), this->now));
   }
 
   // The store was away, and with it all entries lapsed. Live upstreams are back
@@ -120,16 +120,16 @@
   {
     this->Put(1, false);
     this->Fail(AttemptResult::kUnreachable);
-    CPPUNIT_ASSERT(!HasRoom(*this->upstreams.Find({ "u" }), this->now));
+    CPPUNIT_ASSERT(!HasCapacity(*this->upstreams.Find({ "u" }), this->now));
     this->now += milliseconds(400);
     const UpstreamState& state = *this->upstreams.Find({ "u" });
-    CPPUNIT_ASSERT(HasRoom(state, this->now));
+    CPPUNIT_ASSERT(HasCapacity(state, this->now));
     this->upstreams.OnSent({ "u" }, this->now);
-    CPPUNIT_ASSERT(!HasRoom(state, this->now));
+    CPPUNIT_ASSERT(!HasCapacity(state, this->now));
     this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, AttemptResult::kServed, {},
                              this->now + milliseconds(50));
     this->upstreams.OnSent({ "u" }, this->now);
-    CPPUNIT_ASSERT(HasRoom(state, this->now));
+    CPPUNIT_ASSERT(HasCapacity(state, this->now));
   }
 
   void testPeersRequestsCount()
@@ -138,7 +138,7 @@
     this->upstreams.OnPeer({ "h1" }, { { { "u" }, 3, 0, 0 } }, this->now);
     this->upstreams.OnPeer({ "h2" }, { { { "u" }, 1, 0, 0 } }, this->now);
     CPPUNIT_ASSERT_EQUAL(4, this->upstreams.Find({ "u" })->Outstanding());
-    CPPUNIT_ASSERT(!HasRoom(*this->upstreams.Find({ "u" }), this->now));
+    CPPUNIT_ASSERT(!HasCapacity(*this->upstreams.Find({ "u" }), this->now));
     this->upstreams.OnPeer({ "h1" }, {}, this->now);
     CPPUNIT_ASSERT_EQUAL(1, this->upstreams.Find({ "u" })->Outstanding());
     this->upstreams.ForgetPeer({ "h2" });
@@ -224,11 +224,11 @@
 
   std::string PlaceOne()
   {
-    PlacingQuestion question;
+    PlacementContext question;
     question.now = this->now;
     question.usualMs = this->upstreams.UsualMs({ "stoc" }, this->now);
     const UpstreamState* one =
-      Place(this->upstreams.Of({ "stoc" }).ofCell, question,
+      ChooseUpstream(this->upstreams.Of({ "stoc" }).ofCell, question,
             [](std::size_t) { return std::size_t{ 0 }; });
     return one == nullptr ? std::string() : one->entry.id.value;
   }
