--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -192,8 +192,8 @@
   bool IsOverrun(const Request& aRequest) const;
   void LearnBytes(const Request& aRequest, std::size_t aAnswered);
   bool IsKeyed(const Request& aRequest) const;
-  ServiceOutlook Outlook(const Request& aRequest);
-  ServiceOutlook OwnerOutlook(const Request& aRequest);
+  QueueForecast Outlook(const Request& aRequest);
+  QueueForecast OwnerOutlook(const Request& aRequest);
   bool TryPlace(const RequestPtr& aRequest);
   const UpstreamState* Choose(const Request& aRequest);
   const UpstreamState* ChooseOwner(const Request& aRequest);
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -283,7 +283,7 @@
   std::vector<RequestPtr> order(service.waiting.begin(), service.waiting.end());
   std::ranges::stable_sort(
     order, [&](const RequestPtr& aOne, const RequestPtr& aOther) {
-      return GoesBefore(aOne->waiting, aOther->waiting, now, usualMs);
+      return IsServedBefore(aOne->waiting, aOther->waiting, now, usualMs);
     });
   for (const RequestPtr& request : order) {
     if (!this->requests.contains(request->number) || request->isRunning) {
@@ -500,7 +500,7 @@
     return false;
   }
   const TimePoint now = this->hooks.now();
-  if (!IsServable(aRequest.waiting, now, this->UsualMs(aRequest.service))) {
+  if (!CanMeetDeadline(aRequest.waiting, now, this->UsualMs(aRequest.service))) {
     return false;
   }
   // A send that never left is no arrival anywhere.
--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -50,12 +50,12 @@
   return service != nullptr && service->keyed && aRequest.caller.key;
 }
 
-ServiceOutlook Dispatcher::Outlook(const Request& aRequest)
+QueueForecast Dispatcher::Outlook(const Request& aRequest)
 {
   if (this->IsKeyed(aRequest)) {
     return this->OwnerOutlook(aRequest);
   }
-  ServiceOutlook outlook;
+  QueueForecast outlook;
   outlook.usualMs = this->UsualMs(aRequest.service);
   ServiceState& service = this->StateOf(aRequest.service);
   outlook.queued = service.waiting.size();
@@ -77,9 +77,9 @@
 // One upstream runs the key's requests, and all hosts send it theirs. While
 // keys move they wait for about one request; when that takes longer something
 // is wrong, and nobody can say for how long.
-ServiceOutlook Dispatcher::OwnerOutlook(const Request& aRequest)
+QueueForecast Dispatcher::OwnerOutlook(const Request& aRequest)
 {
-  ServiceOutlook outlook;
+  QueueForecast outlook;
   outlook.usualMs = this->UsualMs(aRequest.service);
   const KeyOwner owner =
     this->hooks.findOwner(aRequest.service, *aRequest.caller.key);
@@ -106,7 +106,7 @@
   outlook.perSecond = inAll * known;
   outlook.nextMs = 1000.0 / inAll;
   if (one->fullUntil > now) {
-    outlook.rest =
+    outlook.pause =
       std::chrono::duration_cast<milliseconds>(one->fullUntil - now);
   }
   return outlook;
@@ -175,7 +175,7 @@
 {
   constexpr double kLargeBytes = 20'000;
   return aQuestion.bytes >= kLargeBytes &&
-         IsInTime(aRequest.waiting, aQuestion.now + kFarSooner,
+         CanMeetTarget(aRequest.waiting, aQuestion.now + kFarSooner,
                   aQuestion.usualMs);
 }
 
--- a/src/routing/internal/waiting.cpp
+++ b/src/routing/internal/waiting.cpp
@@ -36,18 +36,18 @@
 {
   const auto aged =
     static_cast<int>((aNow - aRequest.arrived) / Duration(kAgeing));
-  return std::make_tuple(!IsInTime(aRequest, aNow, aUsualMs),
+  return std::make_tuple(!CanMeetTarget(aRequest, aNow, aUsualMs),
                          aRequest.priority - aged, aRequest.target);
 }
 
 } // namespace
 
-bool IsInTime(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs)
+bool CanMeetTarget(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs)
 {
   return MsDouble(aRequest.target - aNow).count() >= kInTimeShare * aUsualMs;
 }
 
-bool IsServable(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs)
+bool CanMeetDeadline(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs)
 {
   return MsDouble(aRequest.deadline - aNow).count() >=
          kLeastShareOfUsual * aUsualMs;
@@ -58,23 +58,23 @@
 {
   const auto beyond = std::chrono::duration_cast<Duration>(
     kLateShare * (aRequest.deadline - aRequest.target));
-  return IsServable(aRequest, aNow, aUsualMs) &&
-         IsInTime(aRequest, aNow - std::max(Duration(0), beyond), aUsualMs);
+  return CanMeetDeadline(aRequest, aNow, aUsualMs) &&
+         CanMeetTarget(aRequest, aNow - std::max(Duration(0), beyond), aUsualMs);
 }
 
-bool GoesBefore(const WaitingRequest& aOne, const WaitingRequest& aOther,
+bool IsServedBefore(const WaitingRequest& aOne, const WaitingRequest& aOther,
                 TimePoint aNow, double aUsualMs)
 {
   return RankOf(aOne, aNow, aUsualMs) < RankOf(aOther, aNow, aUsualMs);
 }
 
 bool IsWorthQueueing(const WaitingRequest& aRequest,
-                     const ServiceOutlook& aOutlook, TimePoint aNow)
+                     const QueueForecast& aOutlook, TimePoint aNow)
 {
   if (!IsWorthWaiting(aRequest, aNow, aOutlook.usualMs)) {
     return false;
   }
-  if (!IsInTime(aRequest, aNow + aOutlook.rest, aOutlook.usualMs)) {
+  if (!CanMeetTarget(aRequest, aNow + aOutlook.pause, aOutlook.usualMs)) {
     return false;
   }
   if (aOutlook.queued == 0) {
@@ -87,10 +87,10 @@
     1000.0 * static_cast<double>(aOutlook.queued) / aOutlook.perSecond;
   const auto start =
     aNow + std::chrono::duration_cast<Duration>(MsDouble(waitMs));
-  return IsInTime(aRequest, start, aOutlook.usualMs);
+  return CanMeetTarget(aRequest, start, aOutlook.usualMs);
 }
 
-milliseconds RetryAfter(const ServiceOutlook& aOutlook, double aSpread)
+milliseconds RetryAfter(const QueueForecast& aOutlook, double aSpread)
 {
   const double eachMs = aOutlook.perSecond > 0
                           ? 1000.0 / aOutlook.perSecond
@@ -99,7 +99,7 @@
                          (aOutlook.nextMs > 0 ? aOutlook.nextMs : eachMs);
   const milliseconds wait(
     static_cast<milliseconds::rep>(drainMs * (0.5 + aSpread)));
-  return std::clamp(std::max(wait, aOutlook.rest), kLeastRetryAfter,
+  return std::clamp(std::max(wait, aOutlook.pause), kLeastRetryAfter,
                     kMostRetryAfter);
 }
 
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -289,10 +289,10 @@
     WaitingRequest book{ 1, start + milliseconds(100),
                          start + milliseconds(5100),
                          start + milliseconds(9000) };
-    CPPUNIT_ASSERT(GoesBefore(book, look, start + milliseconds(200), 100));
+    CPPUNIT_ASSERT(IsServedBefore(book, look, start + milliseconds(200), 100));
     book.arrived = start + milliseconds(1500);
     book.target = start + milliseconds(6500);
-    CPPUNIT_ASSERT(GoesBefore(look, book, start + milliseconds(1600), 100));
+    CPPUNIT_ASSERT(IsServedBefore(look, book, start + milliseconds(1600), 100));
   }
 
   // A key moves from one upstream to another: for some 100 ms nobody may be
--- a/src/routing/waiting.h
+++ b/src/routing/waiting.h
@@ -31,7 +31,7 @@
 
 // What a host expects of the upstreams that a request may use: of all of its
 // service, or of its key's owner.
-struct ServiceOutlook
+struct QueueForecast
 {
   // What one request takes, in milliseconds.
   double usualMs = 100;
@@ -43,14 +43,14 @@
   // perSecond says.
   double nextMs = 0;
   // Nothing is sent before that time has passed.
-  std::chrono::milliseconds rest{ 0 };
+  std::chrono::milliseconds pause{ 0 };
 };
 
 // Whether the request can still be answered within its target if it starts now.
-bool IsInTime(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs);
+bool CanMeetTarget(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs);
 
 // Whether an answer can still reach the caller if it starts now.
-bool IsServable(const WaitingRequest& aRequest, TimePoint aNow,
+bool CanMeetDeadline(const WaitingRequest& aRequest, TimePoint aNow,
                 double aUsualMs);
 
 // Whether it should go on waiting: beyond that its answer would mostly be late,
@@ -59,17 +59,17 @@
                     double aUsualMs);
 
 // Whether aOne goes before aOther.
-bool GoesBefore(const WaitingRequest& aOne, const WaitingRequest& aOther,
+bool IsServedBefore(const WaitingRequest& aOne, const WaitingRequest& aOther,
                 TimePoint aNow, double aUsualMs);
 
 // Whether a new request should wait at all.
 bool IsWorthQueueing(const WaitingRequest& aRequest,
-                     const ServiceOutlook& aOutlook, TimePoint aNow);
+                     const QueueForecast& aOutlook, TimePoint aNow);
 
 // When a refused caller should come back: when those that wait now will have
 // been served, spread by aSpread (0 to 1) so that refused callers do not return
 // together.
-std::chrono::milliseconds RetryAfter(const ServiceOutlook& aOutlook,
+std::chrono::milliseconds RetryAfter(const QueueForecast& aOutlook,
                                      double aSpread);
 
 } // namespace kumquat::routing
