--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -69,7 +69,7 @@
   }
   outlook.perSecond /= static_cast<double>(this->cellCount);
   if (!upstreamsOf.ofOthers.empty()) {
-    outlook.perSecond += 1000.0 * service.elsewhere.Allowed() / outlook.usualMs;
+    outlook.perSecond += 1000.0 * service.elsewhere.Limit() / outlook.usualMs;
   }
   return outlook;
 }
--- a/src/routing/internal/dispatcherparts.h
+++ b/src/routing/internal/dispatcherparts.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "routing/dispatcher.h"
-#include "routing/spillwindow.h"
+#include "routing/spilloverwindow.h"
 
 namespace kumquat::routing {
 
@@ -44,7 +44,7 @@
 {
   std::list<RequestPtr> waiting;
   coordination::RetryBudget budget;
-  SpillWindow elsewhere;
+  SpilloverWindow elsewhere;
   TimePoint lookAgain;
 };
 
--- a/src/routing/spillwindow.h
+++ b/src/routing/spilloverwindow.h
@@ -17,12 +17,12 @@
 
 namespace kumquat::routing {
 
-class SpillWindow
+class SpilloverWindow
 {
 public:
   bool IsOpen(TimePoint aNow) const
   {
-    return static_cast<double>(this->running) < this->allowed &&
+    return static_cast<double>(this->running) < this->limit &&
            aNow >= this->pausedUntil;
   }
 
@@ -37,19 +37,19 @@
     constexpr std::chrono::milliseconds kPause{ 150 };
     --this->running;
     if (aBusy) {
-      this->allowed = std::max(1.0, this->allowed / 2);
+      this->limit = std::max(1.0, this->limit / 2);
       this->pausedUntil = aNow + kPause;
     } else {
-      this->allowed = std::min(kMost, this->allowed + 1);
+      this->limit = std::min(kMost, this->limit + 1);
     }
   }
 
   // Requests that may run there at once.
-  double Allowed() const { return this->allowed; }
+  double Limit() const { return this->limit; }
 
 private:
   int running = 0;
-  double allowed = 1;
+  double limit = 1;
   TimePoint pausedUntil;
 };
 
--- a/src/routing/tests/cells_test.cpp
+++ b/src/routing/tests/cells_test.cpp
@@ -1,7 +1,7 @@
 // How hosts and upstreams fall into cells, and how a cell borrows from others.
 
 #include "routing/cells.h"
-#include "routing/spillwindow.h"
+#include "routing/spilloverwindow.h"
 #include "routing/upstreams.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -154,21 +154,21 @@
   // and each cell is back at home within a few answers.
   void testBurstSpreadsAndOverloadStaysAtHome()
   {
-    SpillWindow window;
+    SpilloverWindow window;
     TimePoint now{ std::chrono::hours(1) };
     for (int i = 0; i < 10; ++i) {
       CPPUNIT_ASSERT(window.IsOpen(now));
       window.OnSent();
       window.OnEnded(false, now);
     }
-    CPPUNIT_ASSERT(window.Allowed() >= 10);
+    CPPUNIT_ASSERT(window.Limit() >= 10);
     for (int i = 0; i < 4; ++i) {
       window.OnSent();
       window.OnEnded(true, now);
       CPPUNIT_ASSERT(!window.IsOpen(now));
       now += milliseconds(200);
     }
-    CPPUNIT_ASSERT_EQUAL(1.0, window.Allowed());
+    CPPUNIT_ASSERT_EQUAL(1.0, window.Limit());
     window.OnSent();
     CPPUNIT_ASSERT(!window.IsOpen(now));
   }
