--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -184,7 +184,7 @@
   const state::HostId id{ aDigest.sender.host };
   std::vector<routing::UpstreamReport> reports;
   std::ranges::transform(aDigest.uses, std::back_inserter(reports), ReportOf);
-  this->upstreams.OnPeer(id, reports, BootTime());
+  this->upstreams.OnPeerReports(id, reports, BootTime());
   this->keys->OnUses(aDigest.keyUses);
   const KnownPeer& peer = this->peers.All().at(id);
   this->tables->OnVersions(peer);
@@ -217,7 +217,7 @@
 void Gateway::Impl::Tick()
 {
   const TimePoint now = BootTime();
-  this->upstreams.Expire(now);
+  this->upstreams.RemoveExpired(now);
   for (const state::HostId& silent : this->peers.TakeSilent()) {
     this->upstreams.ForgetPeer(silent);
     // A connection that went silent stays so; a new one may work.
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -109,7 +109,7 @@
       out.insert(*centre);
     }
   }
-  this->upstreams.SetOut(std::move(out));
+  this->upstreams.SetOutOfService(std::move(out));
   const auto row = copy.rows.find(std::string(platform::kConfigurationKey));
   if (row != copy.rows.end()) {
     this->ApplyConfiguration(row->second);
@@ -183,7 +183,7 @@
                          ? std::nullopt
                          : platform::ParseUpstreamEntry(row.key, row.value);
     if (entry) {
-      const routing::EntryChange change = this->upstreams.Put(*entry, now);
+      const routing::EntryChange change = this->upstreams.PutEntry(*entry, now);
       this->log.Write(
         Event::kUpstreamSeen,
         { { "upstream", row.key },
@@ -194,7 +194,7 @@
           { "cold_ms", static_cast<std::int64_t>(entry->coldLeft.count()) },
           { "version", row.version } });
     } else {
-      this->upstreams.Remove({ row.key }, now, aGrace);
+      this->upstreams.RemoveEntry({ row.key }, now, aGrace);
       this->log.Write(
         Event::kUpstreamGone,
         { { "upstream", row.key },
--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -107,20 +107,20 @@
 {
   const TimePoint now = this->hooks.now();
   const std::vector<routing::UpstreamState*>& all =
-    this->upstreams.Of(aService).all;
-  const double usualMs = this->upstreams.UsualMs(aService, now);
+    this->upstreams.ForService(aService).all;
+  const double usualMs = this->upstreams.TypicalServiceMs(aService, now);
   std::vector<ownership::OwnerCandidate> owners;
   for (const routing::UpstreamState* one : all) {
     ownership::OwnerCandidate owner;
     owner.holder = { one->entry.id, one->entry.born };
     owner.address = one->entry.address;
-    owner.mayOwn = this->upstreams.MayUse(*one);
+    owner.mayOwn = this->upstreams.IsUsable(*one);
     owner.cold = one->coldUntil > now;
     owner.capacity = one->entry.slots;
     if (one->serviceMs > 0) {
       // Bounded, as the time is learnt from few answers of this host alone.
       owner.capacity *= std::clamp(
-        usualMs / routing::ServiceMsNow(*one, usualMs, now), 0.4, 2.0);
+        usualMs / routing::EstimatedServiceMs(*one, usualMs, now), 0.4, 2.0);
     }
     owners.push_back(std::move(owner));
   }
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -467,7 +467,7 @@
   }
   const Request& request = *found->second;
   const UpstreamState* one = this->upstreams.Find(request.upstream);
-  if (one == nullptr || !this->upstreams.MayUse(*one) ||
+  if (one == nullptr || !this->upstreams.IsUsable(*one) ||
       one->entry.address != request.address) {
     return false;
   }
--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -40,7 +40,7 @@
 
 double Dispatcher::UsualMs(const state::ServiceName& aName)
 {
-  const double known = this->upstreams.UsualMs(aName, this->hooks.now());
+  const double known = this->upstreams.TypicalServiceMs(aName, this->hooks.now());
   return known > 0 ? known : kUnknownServiceMs;
 }
 
@@ -56,20 +56,20 @@
     return this->OwnerOutlook(aRequest);
   }
   QueueForecast outlook;
-  outlook.usualMs = this->UsualMs(aRequest.service);
+  outlook.typicalMs = this->UsualMs(aRequest.service);
   ServiceState& service = this->StateOf(aRequest.service);
   outlook.queued = service.waiting.size();
   const TimePoint now = this->hooks.now();
-  const ServiceUpstreams& upstreamsOf = this->upstreams.Of(aRequest.service);
-  for (const UpstreamState* one : upstreamsOf.ofCell) {
+  const ServiceUpstreams& upstreamsOf = this->upstreams.ForService(aRequest.service);
+  for (const UpstreamState* one : upstreamsOf.inCell) {
     if (one->ejectedUntil <= now) {
       outlook.perSecond +=
-        1000.0 * one->entry.slots / ServiceMsNow(*one, outlook.usualMs, now);
+        1000.0 * one->entry.slots / EstimatedServiceMs(*one, outlook.typicalMs, now);
     }
   }
   outlook.perSecond /= static_cast<double>(this->cellCount);
-  if (!upstreamsOf.ofOthers.empty()) {
-    outlook.perSecond += 1000.0 * service.elsewhere.Limit() / outlook.usualMs;
+  if (!upstreamsOf.inOtherCells.empty()) {
+    outlook.perSecond += 1000.0 * service.elsewhere.Limit() / outlook.typicalMs;
   }
   return outlook;
 }
@@ -80,17 +80,17 @@
 QueueForecast Dispatcher::OwnerOutlook(const Request& aRequest)
 {
   QueueForecast outlook;
-  outlook.usualMs = this->UsualMs(aRequest.service);
+  outlook.typicalMs = this->UsualMs(aRequest.service);
   const KeyOwner owner =
     this->hooks.findOwner(aRequest.service, *aRequest.caller.key);
   const UpstreamState* one = this->upstreams.Find(owner.upstream);
-  if (one == nullptr || !this->upstreams.MayUse(*one)) {
+  if (one == nullptr || !this->upstreams.IsUsable(*one)) {
     outlook.queued = 1;
-    outlook.perSecond = owner.unchangedFor < kMoveTakes ? 1000.0 / outlook.usualMs : 0;
+    outlook.perSecond = owner.unchangedFor < kMoveTakes ? 1000.0 / outlook.typicalMs : 0;
     return outlook;
   }
   const TimePoint now = this->hooks.now();
-  outlook.usualMs = ServiceMsNow(*one, outlook.usualMs, now);
+  outlook.typicalMs = EstimatedServiceMs(*one, outlook.typicalMs, now);
   if (one->ejectedUntil > now) {
     outlook.queued = 1;
     return outlook;
@@ -102,7 +102,7 @@
   const int here = this->WaitingByOwner()[owner.upstream];
   outlook.queued = static_cast<std::size_t>(here) +
                    static_cast<std::size_t>(one->waitingOfPeers);
-  const double inAll = 1000.0 * one->entry.slots / outlook.usualMs;
+  const double inAll = 1000.0 * one->entry.slots / outlook.typicalMs;
   outlook.perSecond = inAll * known;
   outlook.nextMs = 1000.0 / inAll;
   if (one->fullUntil > now) {
@@ -145,7 +145,7 @@
     return this->ChooseOwner(aRequest);
   }
   std::vector<UpstreamState*> candidates =
-    this->upstreams.Of(aRequest.service).ofCell;
+    this->upstreams.ForService(aRequest.service).inCell;
   std::erase_if(candidates, [&](const UpstreamState* aOne) {
     return !this->IsAllowedCold(aRequest, *aOne);
   });
@@ -161,7 +161,7 @@
 {
   const UpstreamState* one = this->upstreams.Find(
     this->hooks.findOwner(aRequest.service, *aRequest.caller.key).upstream);
-  return one != nullptr && this->upstreams.MayUse(*one) &&
+  return one != nullptr && this->upstreams.IsUsable(*one) &&
              HasCapacity(*one, this->hooks.now()) &&
              this->IsAllowedCold(aRequest, *one)
            ? one
@@ -176,7 +176,7 @@
   constexpr double kLargeBytes = 20'000;
   return aQuestion.bytes >= kLargeBytes &&
          CanMeetTarget(aRequest.waiting, aQuestion.now + kFarSooner,
-                  aQuestion.usualMs);
+                  aQuestion.typicalMs);
 }
 
 // Of a few drawn at random: this host knows little of any of them, and would
@@ -187,7 +187,7 @@
 {
   const TimePoint now = this->hooks.now();
   const std::vector<UpstreamState*>& others =
-    this->upstreams.Of(aRequest.service).ofOthers;
+    this->upstreams.ForService(aRequest.service).inOtherCells;
   if (others.empty() ||
       !this->StateOf(aRequest.service).elsewhere.IsOpen(now)) {
     return nullptr;
@@ -229,7 +229,7 @@
                    : aRequest.route->kind == RouteKind::kDownload
                      ? kUnknownDownloadBytes
                      : 0;
-  question.usualMs = this->UsualMs(aRequest.service);
+  question.typicalMs = this->UsualMs(aRequest.service);
   return question;
 }
 
--- a/src/routing/internal/placement.cpp
+++ b/src/routing/internal/placement.cpp
@@ -55,7 +55,7 @@
 double ExpectedMs(const UpstreamState& aUpstream,
                   const PlacementContext& aQuestion)
 {
-  double own = ServiceMsNow(aUpstream, kShareWhereUnknown * aQuestion.usualMs,
+  double own = EstimatedServiceMs(aUpstream, kShareWhereUnknown * aQuestion.typicalMs,
                             aQuestion.now);
   own = std::max(own, OverdueMs(aUpstream, aQuestion.now, own));
   if (aUpstream.slowdown > 1 &&
--- a/src/routing/internal/upstreams.cpp
+++ b/src/routing/internal/upstreams.cpp
@@ -118,7 +118,7 @@
 
 } // namespace
 
-double ServiceMsNow(const UpstreamState& aUpstream, double aUsualMs,
+double EstimatedServiceMs(const UpstreamState& aUpstream, double aUsualMs,
                     TimePoint aNow)
 {
   const bool isOfColdTime = aUpstream.learntCold && aUpstream.coldUntil <= aNow;
@@ -161,7 +161,7 @@
   this->isIndexed = false;
 }
 
-EntryChange Upstreams::Put(const UpstreamEntry& aEntry, TimePoint aNow)
+EntryChange Upstreams::PutEntry(const UpstreamEntry& aEntry, TimePoint aNow)
 {
   const auto found = this->upstreams.find(aEntry.id);
   const std::optional<LastWord> last = this->LastWordOf(aEntry.id);
@@ -200,7 +200,7 @@
   return newLife ? EntryChange::kNewLife : EntryChange::kUpdated;
 }
 
-void Upstreams::Remove(const state::UpstreamId& aId, TimePoint aNow,
+void Upstreams::RemoveEntry(const state::UpstreamId& aId, TimePoint aNow,
                        milliseconds aGrace)
 {
   const auto found = this->upstreams.find(aId);
@@ -216,7 +216,7 @@
   }
 }
 
-void Upstreams::Expire(TimePoint aNow)
+void Upstreams::RemoveExpired(TimePoint aNow)
 {
   std::vector<state::UpstreamId> over;
   for (const auto& [id, upstream] : this->upstreams) {
@@ -231,9 +231,9 @@
   });
 }
 
-void Upstreams::SetOut(std::set<state::DataCentre> aOut)
+void Upstreams::SetOutOfService(std::set<state::DataCentre> aOut)
 {
-  this->out = std::move(aOut);
+  this->outOfService = std::move(aOut);
   this->isIndexed = false;
 }
 
@@ -255,7 +255,7 @@
   return found == this->upstreams.end() ? nullptr : &found->second;
 }
 
-const ServiceUpstreams& Upstreams::Of(const state::ServiceName& aService)
+const ServiceUpstreams& Upstreams::ForService(const state::ServiceName& aService)
 {
   if (!this->isIndexed) {
     this->Index();
@@ -278,16 +278,16 @@
     std::vector<UpstreamState*> usable;
     std::ranges::copy_if(
       service.all, std::back_inserter(usable),
-      [this](const UpstreamState* aOne) { return this->MayUse(*aOne); });
+      [this](const UpstreamState* aOne) { return this->IsUsable(*aOne); });
     for (std::size_t i = 0; i < usable.size(); ++i) {
       UpstreamState* one = usable[i];
       one->isOfCell = OverlapsRange(this->cellRange, i, usable.size());
-      (one->isOfCell ? service.ofCell : service.ofOthers).push_back(one);
+      (one->isOfCell ? service.inCell : service.inOtherCells).push_back(one);
     }
   }
 }
 
-double Upstreams::UsualMs(const state::ServiceName& aService, TimePoint aNow)
+double Upstreams::TypicalServiceMs(const state::ServiceName& aService, TimePoint aNow)
 {
   const auto meanOf = [](const std::vector<UpstreamState*>& aSome) {
     const double sum =
@@ -299,7 +299,7 @@
   };
   std::vector<UpstreamState*> known;
   std::ranges::copy_if(
-    this->Of(aService).all, std::back_inserter(known),
+    this->ForService(aService).all, std::back_inserter(known),
     [](const UpstreamState* aOne) { return aOne->serviceMs > 0; });
   std::vector<UpstreamState*> fresh;
   std::ranges::copy_if(
@@ -382,7 +382,7 @@
   }
 }
 
-void Upstreams::OnPeer(const state::HostId& aPeer,
+void Upstreams::OnPeerReports(const state::HostId& aPeer,
                        const std::vector<UpstreamReport>& aReports,
                        TimePoint aNow)
 {
--- a/src/routing/internal/waiting.cpp
+++ b/src/routing/internal/waiting.cpp
@@ -71,10 +71,10 @@
 bool IsWorthQueueing(const WaitingRequest& aRequest,
                      const QueueForecast& aOutlook, TimePoint aNow)
 {
-  if (!IsWorthWaiting(aRequest, aNow, aOutlook.usualMs)) {
+  if (!IsWorthWaiting(aRequest, aNow, aOutlook.typicalMs)) {
     return false;
   }
-  if (!CanMeetTarget(aRequest, aNow + aOutlook.pause, aOutlook.usualMs)) {
+  if (!CanMeetTarget(aRequest, aNow + aOutlook.pause, aOutlook.typicalMs)) {
     return false;
   }
   if (aOutlook.queued == 0) {
@@ -87,7 +87,7 @@
     1000.0 * static_cast<double>(aOutlook.queued) / aOutlook.perSecond;
   const auto start =
     aNow + std::chrono::duration_cast<Duration>(MsDouble(waitMs));
-  return CanMeetTarget(aRequest, start, aOutlook.usualMs);
+  return CanMeetTarget(aRequest, start, aOutlook.typicalMs);
 }
 
 milliseconds RetryAfter(const QueueForecast& aOutlook, double aSpread)
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -25,7 +25,7 @@
   double bytes = 0;
   // What a request of this service takes where nothing is known, in
   // milliseconds.
-  double usualMs = 100;
+  double typicalMs = 100;
 };
 
 // How long a request sent now would take there, in milliseconds: the wait for a
--- a/src/routing/tests/cells_test.cpp
+++ b/src/routing/tests/cells_test.cpp
@@ -74,11 +74,11 @@
       const FractionRange span = CellsOf(host, hosts).OwnRange();
       Upstreams upstreams = UpstreamsOf(15);
       upstreams.SetCellRange(span);
-      const ServiceUpstreams& service = upstreams.Of({ "pecyn" });
-      CPPUNIT_ASSERT(!service.ofCell.empty() && service.ofCell.size() <= 4);
+      const ServiceUpstreams& service = upstreams.ForService({ "pecyn" });
+      CPPUNIT_ASSERT(!service.inCell.empty() && service.inCell.size() <= 4);
       CPPUNIT_ASSERT_EQUAL(std::size_t{ 15 },
-                           service.ofCell.size() + service.ofOthers.size());
-      for (const UpstreamState* one : service.ofCell) {
+                           service.inCell.size() + service.inOtherCells.size());
+      for (const UpstreamState* one : service.inCell) {
         cellsOf[one->entry.id].insert(span.begin);
       }
     }
@@ -98,8 +98,8 @@
     for (const CellHost& host : hosts) {
       Upstreams upstreams = UpstreamsOf(90);
       upstreams.SetCellRange(CellsOf(host, hosts).OwnRange());
-      upstreams.SetOut({ { "b" } });
-      const std::size_t count = upstreams.Of({ "pecyn" }).ofCell.size();
+      upstreams.SetOutOfService({ { "b" } });
+      const std::size_t count = upstreams.ForService({ "pecyn" }).inCell.size();
       least = std::min(least, count);
       most = std::max(most, count);
     }
@@ -205,7 +205,7 @@
       entry.service = { "pecyn" };
       entry.dataCentre = { std::string(1, static_cast<char>('a' + i % 3)) };
       entry.slots = 3;
-      upstreams.Put(entry, TimePoint{});
+      upstreams.PutEntry(entry, TimePoint{});
     }
     return upstreams;
   }
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -331,12 +331,12 @@
   {
     this->FillOwner();
     UpstreamReport report{ { "s0" }, 4, 0, 0, 12 };
-    this->upstreams.OnPeer({ "h1" }, { report }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { report }, this->now);
     const auto number = this->Ask("/stock/1", milliseconds(1200), 7);
     CPPUNIT_ASSERT(this->OutcomeOf(number) == Outcome::kNotRun);
     // Once they are served it may wait again.
     report.waiting = 0;
-    this->upstreams.OnPeer({ "h1" }, { report }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { report }, this->now);
     const auto next = this->Ask("/stock/1", milliseconds(1200), 7);
     CPPUNIT_ASSERT(!this->answers.contains(next));
   }
@@ -366,7 +366,7 @@
     CPPUNIT_ASSERT(this->dispatcher->IsTargetStillValid(number));
     UpstreamEntry entry = this->upstreams.Find(first)->entry;
     entry.leaving = true;
-    this->upstreams.Put(entry, this->now);
+    this->upstreams.PutEntry(entry, this->now);
     CPPUNIT_ASSERT(!this->dispatcher->IsTargetStillValid(number));
     this->dispatcher->OnSendFailed(number, TransportError::kWithdrawn);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 2 }, this->sends.size());
@@ -530,17 +530,17 @@
     large.message.length = 90'000;
     large.isSigned = true;
     this->dispatcher->OnUpstreamResponse(this->Ask("/look/1"), large);
-    this->upstreams.OnPeer({ "h1" }, { { { "a0" }, 4, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "a0" }, 4, 0, 0 } }, this->now);
     this->sends.clear();
     const auto served = this->Ask("/look/1");
     CPPUNIT_ASSERT(this->sends.empty());
     this->now += milliseconds(60);
-    this->upstreams.OnPeer({ "h1" }, {}, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, {}, this->now);
     this->dispatcher->OnTimer();
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, this->sends.size());
     CPPUNIT_ASSERT_EQUAL(std::string("a0"), this->sends.back().upstream.value);
     this->Answer(served, 200);
-    this->upstreams.OnPeer({ "h1" }, { { { "a0" }, 4, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "a0" }, 4, 0, 0 } }, this->now);
     this->Ask("/look/1");
     for (int ms = 0; ms < 400 && this->sends.size() < 2; ms += 20) {
       this->now += milliseconds(20);
@@ -583,7 +583,7 @@
   void testFullCellBorrowsFromOthers()
   {
     this->upstreams.SetCellRange({ 0, 1.0 / 3 });
-    const UpstreamState* own = this->upstreams.Of({ "archeb" }).ofCell.at(0);
+    const UpstreamState* own = this->upstreams.ForService({ "archeb" }).inCell.at(0);
     for (int i = 0; i < 8; ++i) {
       this->Ask("/look/1");
     }
@@ -618,7 +618,7 @@
     for (const char* far : { "a1", "a2" }) {
       UpstreamEntry entry = this->upstreams.Find({ far })->entry;
       entry.dataCentre = { "wrecsam" };
-      this->upstreams.Put(entry, this->now);
+      this->upstreams.PutEntry(entry, this->now);
     }
     // "caerdydd" comes before "wrecsam".
     this->upstreams.SetCellRange({ 0, 1.0 / 3 });
@@ -729,7 +729,7 @@
   {
     this->dispatcher->SetHosts(Hosts(12), Hosts(12));
     this->Teach("stoc", 100);
-    this->upstreams.OnPeer({ "h1" }, { { { "s0" }, 4, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "s0" }, 4, 0, 0 } }, this->now);
   }
 
   static std::vector<state::HostId> Hosts(int aCount)
@@ -752,12 +752,12 @@
     entry.dataCentre = { aCentre };
     entry.slots = 3;
     entry.born = 1;
-    this->upstreams.Put(entry, this->now);
+    this->upstreams.PutEntry(entry, this->now);
   }
 
   void Teach(const std::string& aService, double aMs)
   {
-    for (UpstreamState* one : this->upstreams.Of({ aService }).all) {
+    for (UpstreamState* one : this->upstreams.ForService({ aService }).all) {
       one->serviceMs = aMs;
     }
   }
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadworld.h
@@ -206,7 +206,7 @@
       host->id = all[static_cast<std::size_t>(i)];
       host->dataCentre = { std::to_string(i % this->options.dataCentres) };
       for (const auto& [id, one] : this->upstreams) {
-        host->upstreams.Put(one.entry, this->now);
+        host->upstreams.PutEntry(one.entry, this->now);
       }
       host->dispatcher = std::make_unique<Dispatcher>(
         DispatcherOptions{ host->id, host->dataCentre, 0.1, 20 },
@@ -444,7 +444,7 @@
     const auto reports = aHost.upstreams.TakeReports();
     for (const auto& other : this->hosts) {
       if (other->id != aHost.id && this->AreMates(aHost, *other)) {
-        other->upstreams.OnPeer(aHost.id, reports, this->now);
+        other->upstreams.OnPeerReports(aHost.id, reports, this->now);
       }
     }
     this->After(kDigest, [this, &aHost] { this->Tell(aHost); });
--- a/src/routing/tests/upstreams_test.cpp
+++ b/src/routing/tests/upstreams_test.cpp
@@ -67,12 +67,12 @@
   void testLateHeartbeatBringsNoGoneUpstreamBack()
   {
     this->Put(1, true, 9);
-    this->upstreams.Remove({ "u" }, this->now, milliseconds(0));
+    this->upstreams.RemoveEntry({ "u" }, this->now, milliseconds(0));
     this->Put(1, false, 8);
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" }) == nullptr);
     this->Put(1, false, 11);
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" })->entry.leaving);
-    this->upstreams.Remove({ "u" }, this->now, milliseconds(0));
+    this->upstreams.RemoveEntry({ "u" }, this->now, milliseconds(0));
     this->Put(2, false, 1);
     CPPUNIT_ASSERT(!this->upstreams.Find({ "u" })->entry.leaving);
   }
@@ -103,14 +103,14 @@
   void testLapsedEntryInGrace()
   {
     this->Put(1, false);
-    this->upstreams.Remove({ "u" }, this->now, milliseconds(2000));
-    this->upstreams.Expire(this->now + milliseconds(1900));
+    this->upstreams.RemoveEntry({ "u" }, this->now, milliseconds(2000));
+    this->upstreams.RemoveExpired(this->now + milliseconds(1900));
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" }) != nullptr);
     this->Put(1, false);
-    this->upstreams.Expire(this->now + milliseconds(2100));
+    this->upstreams.RemoveExpired(this->now + milliseconds(2100));
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" }) != nullptr);
-    this->upstreams.Remove({ "u" }, this->now, milliseconds(2000));
-    this->upstreams.Expire(this->now + milliseconds(2100));
+    this->upstreams.RemoveEntry({ "u" }, this->now, milliseconds(2000));
+    this->upstreams.RemoveExpired(this->now + milliseconds(2100));
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" }) == nullptr);
   }
 
@@ -135,11 +135,11 @@
   void testPeersRequestsCount()
   {
     this->Put(1, false);
-    this->upstreams.OnPeer({ "h1" }, { { { "u" }, 3, 0, 0 } }, this->now);
-    this->upstreams.OnPeer({ "h2" }, { { { "u" }, 1, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 3, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h2" }, { { { "u" }, 1, 0, 0 } }, this->now);
     CPPUNIT_ASSERT_EQUAL(4, this->upstreams.Find({ "u" })->Outstanding());
     CPPUNIT_ASSERT(!HasCapacity(*this->upstreams.Find({ "u" }), this->now));
-    this->upstreams.OnPeer({ "h1" }, {}, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, {}, this->now);
     CPPUNIT_ASSERT_EQUAL(1, this->upstreams.Find({ "u" })->Outstanding());
     this->upstreams.ForgetPeer({ "h2" });
     CPPUNIT_ASSERT_EQUAL(0, this->upstreams.Find({ "u" })->Outstanding());
@@ -150,9 +150,9 @@
   void testPeersTeachServiceTimes()
   {
     this->Put(1, false);
-    this->upstreams.OnPeer({ "h1" }, { { { "u" }, 0, 5, 100.0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 0, 5, 100.0 } }, this->now);
     for (int i = 0; i < 4; ++i) {
-      this->upstreams.OnPeer({ "h1" }, { { { "u" }, 0, 5, 500.0 } }, this->now);
+      this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 0, 5, 500.0 } }, this->now);
     }
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" })->serviceMs > 400);
     CPPUNIT_ASSERT(this->upstreams.TakeReports().empty());
@@ -204,7 +204,7 @@
     entry.service = { "stoc" };
     entry.slots = 3;
     entry.coldLeft = aCold;
-    this->upstreams.Put(entry, this->now);
+    this->upstreams.PutEntry(entry, this->now);
   }
 
   void Serve(const std::string& aId, milliseconds aTook)
@@ -226,9 +226,9 @@
   {
     PlacementContext question;
     question.now = this->now;
-    question.usualMs = this->upstreams.UsualMs({ "stoc" }, this->now);
+    question.typicalMs = this->upstreams.TypicalServiceMs({ "stoc" }, this->now);
     const UpstreamState* one =
-      ChooseUpstream(this->upstreams.Of({ "stoc" }).ofCell, question,
+      ChooseUpstream(this->upstreams.ForService({ "stoc" }).inCell, question,
             [](std::size_t) { return std::size_t{ 0 }; });
     return one == nullptr ? std::string() : one->entry.id.value;
   }
@@ -243,7 +243,7 @@
     entry.slots = 3;
     entry.leaving = aLeaving;
     entry.born = aBorn;
-    this->upstreams.Put(entry, this->now);
+    this->upstreams.PutEntry(entry, this->now);
   }
 
   void Fail(AttemptResult aClass)
--- a/src/routing/upstreams.h
+++ b/src/routing/upstreams.h
@@ -136,7 +136,7 @@
 // What a request takes there now, as far as is known, in milliseconds. Times of
 // a slow spell give way to the usual ones the longer nothing was heard since:
 // an upstream that gets no request could not show that the spell is over.
-double ServiceMsNow(const UpstreamState& aUpstream, double aUsualMs,
+double EstimatedServiceMs(const UpstreamState& aUpstream, double aUsualMs,
                     TimePoint aNow);
 
 // The upstreams of one service, by data centre and then in an order of no
@@ -147,8 +147,8 @@
   std::vector<UpstreamState*> all;
   // New work may be sent there. This host's cell counts what its hosts have
   // running at the first ones; the others are those of other cells.
-  std::vector<UpstreamState*> ofCell;
-  std::vector<UpstreamState*> ofOthers;
+  std::vector<UpstreamState*> inCell;
+  std::vector<UpstreamState*> inOtherCells;
 };
 
 class Upstreams
@@ -163,32 +163,32 @@
 
   // Takes an upstream's entry. Words of one life count in the order in which
   // they were written, and one that leaves stays so.
-  EntryChange Put(const UpstreamEntry& aEntry, TimePoint aNow);
+  EntryChange PutEntry(const UpstreamEntry& aEntry, TimePoint aNow);
   // The entry is gone. Entries also lapse because the store was away, and live
   // upstreams are back within two seconds of its return; aGrace is how long
   // this one may still be used, 0 where the store was well.
-  void Remove(const state::UpstreamId& aId, TimePoint aNow,
+  void RemoveEntry(const state::UpstreamId& aId, TimePoint aNow,
               std::chrono::milliseconds aGrace);
   // Drops what was in grace and is over.
-  void Expire(TimePoint aNow);
+  void RemoveExpired(TimePoint aNow);
 
-  void SetOut(std::set<state::DataCentre> aOut);
+  void SetOutOfService(std::set<state::DataCentre> aOut);
   // The part that this host's cell uses first.
   void SetCellRange(const FractionRange& aSpan);
   // All hosts that may use one upstream.
   void SetHostCount(std::size_t aHosts) { this->hostCount = aHosts; }
-  bool IsOut(const state::DataCentre& aCentre) const
+  bool IsOutOfService(const state::DataCentre& aCentre) const
   {
-    return this->out.contains(aCentre);
+    return this->outOfService.contains(aCentre);
   }
 
   UpstreamState* Find(const state::UpstreamId& aId);
   const UpstreamState* Find(const state::UpstreamId& aId) const;
   // Valid until the next change of entries, places or span.
-  const ServiceUpstreams& Of(const state::ServiceName& aService);
+  const ServiceUpstreams& ForService(const state::ServiceName& aService);
   // What a request of the service takes at the mean of its upstreams, as heard
   // lately, in milliseconds; 0 while nothing is known.
-  double UsualMs(const state::ServiceName& aService, TimePoint aNow);
+  double TypicalServiceMs(const state::ServiceName& aService, TimePoint aNow);
   const std::map<state::UpstreamId, UpstreamState>& All() const
   {
     return this->upstreams;
@@ -196,9 +196,9 @@
 
   // New work may be sent there: not leaving, not gone, not in a data centre
   // that is out.
-  bool MayUse(const UpstreamState& aUpstream) const
+  bool IsUsable(const UpstreamState& aUpstream) const
   {
-    return !aUpstream.entry.leaving && !this->IsOut(aUpstream.entry.dataCentre);
+    return !aUpstream.entry.leaving && !this->IsOutOfService(aUpstream.entry.dataCentre);
   }
 
   void OnSent(const state::UpstreamId& aId, TimePoint aNow);
@@ -213,7 +213,7 @@
 
   // A peer's digest; what it has running takes the place of what it told
   // before.
-  void OnPeer(const state::HostId& aPeer,
+  void OnPeerReports(const state::HostId& aPeer,
               const std::vector<UpstreamReport>& aReports, TimePoint aNow);
   void ForgetPeer(const state::HostId& aPeer);
   // How many requests of this host wait for each owner of keys now.
@@ -250,7 +250,7 @@
   bool isIndexed = false;
   FractionRange cellRange;
   std::size_t hostCount = 1;
-  std::set<state::DataCentre> out;
+  std::set<state::DataCentre> outOfService;
   std::map<state::HostId, std::unordered_map<std::string, PeerUse>> peers;
 };
 
--- a/src/routing/waiting.h
+++ b/src/routing/waiting.h
@@ -34,7 +34,7 @@
 struct QueueForecast
 {
   // What one request takes, in milliseconds.
-  double usualMs = 100;
+  double typicalMs = 100;
   // Requests a second that this host may expect to be run of those it queues.
   double perSecond = 0;
   // Requests of this host that wait already.
