--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -191,7 +191,7 @@
           { "data_centre", entry->dataCentre.value },
           { "change", routing::EntryChangeName(change) },
           { "leaving", static_cast<std::int64_t>(entry->leaving) },
-          { "cold_ms", static_cast<std::int64_t>(entry->coldLeft.count()) },
+          { "cold_ms", static_cast<std::int64_t>(entry->coldRemaining.count()) },
           { "version", row.version } });
     } else {
       this->upstreams.RemoveEntry({ row.key }, now, aGrace);
--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -112,7 +112,7 @@
   std::vector<ownership::OwnerCandidate> owners;
   for (const routing::UpstreamState* one : all) {
     ownership::OwnerCandidate owner;
-    owner.holder = { one->entry.id, one->entry.born };
+    owner.holder = { one->entry.id, one->entry.startedMs };
     owner.address = one->entry.address;
     owner.mayOwn = this->upstreams.IsUsable(*one);
     owner.cold = one->coldUntil > now;
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -233,7 +233,7 @@
   aRequest->isRunning = true;
   aRequest->upstream = aUpstream.entry.id;
   aRequest->address = aUpstream.entry.address;
-  aRequest->isElsewhere = !this->IsKeyed(*aRequest) && !aUpstream.isOfCell;
+  aRequest->isElsewhere = !this->IsKeyed(*aRequest) && !aUpstream.isInCell;
   if (aRequest->isElsewhere) {
     this->StateOf(aRequest->service).elsewhere.OnSent();
   }
@@ -417,7 +417,7 @@
   constexpr int kRefusals = 3;
   const UpstreamState* one = this->upstreams.Find(aRequest.upstream);
   return this->hostCount > this->cellCount && this->IsKeyed(aRequest) &&
-         one != nullptr && one->fullInARow >= kRefusals;
+         one != nullptr && one->consecutiveFullRefusals >= kRefusals;
 }
 
 void Dispatcher::LearnBytes(const Request& aRequest, std::size_t aAnswered)
--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -101,7 +101,7 @@
     static_cast<double>(this->cellCount) / static_cast<double>(this->hostCount);
   const int here = this->WaitingByOwner()[owner.upstream];
   outlook.queued = static_cast<std::size_t>(here) +
-                   static_cast<std::size_t>(one->waitingOfPeers);
+                   static_cast<std::size_t>(one->waitingAtPeers);
   const double inAll = 1000.0 * one->entry.slots / outlook.typicalMs;
   outlook.perSecond = inAll * known;
   outlook.nextMs = 1000.0 / inAll;
--- a/src/routing/internal/placement.cpp
+++ b/src/routing/internal/placement.cpp
@@ -47,7 +47,7 @@
 
 bool IsProbing(const UpstreamState& aUpstream)
 {
-  return aUpstream.ejection.count() > 0;
+  return aUpstream.ejectionTime.count() > 0;
 }
 
 } // namespace
--- a/src/routing/internal/upstreams.cpp
+++ b/src/routing/internal/upstreams.cpp
@@ -39,7 +39,7 @@
   {
     { EntryChange::kOutdated, "outdated" },
     { EntryChange::kUpdated, "updated" },
-    { EntryChange::kNewLife, "new-life" },
+    { EntryChange::kNewIncarnation, "new-life" },
   }
 };
 
@@ -55,10 +55,10 @@
 
 void Eject(UpstreamState& aUpstream, TimePoint aNow)
 {
-  aUpstream.ejection = aUpstream.ejection.count() == 0
+  aUpstream.ejectionTime = aUpstream.ejectionTime.count() == 0
                          ? kFirstEjection
-                         : std::min(kLongestEjection, aUpstream.ejection * 2);
-  aUpstream.ejectedUntil = aNow + aUpstream.ejection;
+                         : std::min(kLongestEjection, aUpstream.ejectionTime * 2);
+  aUpstream.ejectedUntil = aNow + aUpstream.ejectionTime;
 }
 
 // Those that wait pass the slots in turn, so a wait of n rounds took n times a
@@ -88,7 +88,7 @@
   const double ms =
     std::max(kLeastMs, aUpstream.serviceMs / aUpstream.entry.slots);
   const double most = std::max(1.0, static_cast<double>(aHosts) / kHostsAtEase);
-  const double times = std::min(most, std::exp2(aUpstream.fullInARow - 1));
+  const double times = std::min(most, std::exp2(aUpstream.consecutiveFullRefusals - 1));
   return std::chrono::duration_cast<Duration>(
     std::chrono::duration<double, std::milli>(ms * times));
 }
@@ -105,11 +105,11 @@
                       TimePoint aNow)
 {
   const bool isCold = aUpstream.coldUntil > aNow;
-  const bool isFirstWarm = aUpstream.learntCold && !isCold;
-  aUpstream.learntAt = aNow;
+  const bool isFirstWarm = aUpstream.measuredWhileCold && !isCold;
+  aUpstream.measuredAt = aNow;
   if (aUpstream.serviceMs <= 0 || isFirstWarm) {
     aUpstream.serviceMs = aMs;
-    aUpstream.learntCold = isCold;
+    aUpstream.measuredWhileCold = isCold;
     return;
   }
   Average(aUpstream.serviceMs, aMs,
@@ -121,14 +121,14 @@
 double EstimatedServiceMs(const UpstreamState& aUpstream, double aUsualMs,
                     TimePoint aNow)
 {
-  const bool isOfColdTime = aUpstream.learntCold && aUpstream.coldUntil <= aNow;
+  const bool isOfColdTime = aUpstream.measuredWhileCold && aUpstream.coldUntil <= aNow;
   if (aUpstream.serviceMs <= 0 || isOfColdTime) {
     return aUsualMs;
   }
   if (aUpstream.serviceMs <= aUsualMs) {
     return aUpstream.serviceMs;
   }
-  const double age = ToMs(aNow - aUpstream.learntAt) / ToMs(kSlowSpellKept);
+  const double age = ToMs(aNow - aUpstream.measuredAt) / ToMs(kSlowSpellKept);
   return aUsualMs + (aUpstream.serviceMs - aUsualMs) * std::exp(-age);
 }
 
@@ -145,7 +145,7 @@
   const auto here = this->upstreams.find(aId);
   if (here != this->upstreams.end()) {
     const UpstreamEntry& entry = here->second.entry;
-    return LastWord{ entry.born, entry.sequence, entry.leaving, {} };
+    return LastWord{ entry.startedMs, entry.sequence, entry.leaving, {} };
   }
   const auto past = this->gone.find(aId);
   return past == this->gone.end() ? std::nullopt : std::optional(past->second);
@@ -165,26 +165,26 @@
 {
   const auto found = this->upstreams.find(aEntry.id);
   const std::optional<LastWord> last = this->LastWordOf(aEntry.id);
-  const bool isSameLife = last && aEntry.born != 0 && last->born == aEntry.born;
-  if (last && (last->born > aEntry.born ||
+  const bool isSameLife = last && aEntry.startedMs != 0 && last->born == aEntry.startedMs;
+  if (last && (last->born > aEntry.startedMs ||
                (isSameLife && last->sequence > aEntry.sequence))) {
     return EntryChange::kOutdated;
   }
   const bool newLife =
-    found == this->upstreams.end() || found->second.entry.born < aEntry.born;
+    found == this->upstreams.end() || found->second.entry.startedMs < aEntry.startedMs;
   if (newLife) {
     UpstreamState fresh;
     if (found != this->upstreams.end()) {
-      fresh.runningOfPeers = found->second.runningOfPeers;
-      fresh.waitingOfPeers = found->second.waitingOfPeers;
+      fresh.runningFromPeers = found->second.runningFromPeers;
+      fresh.waitingAtPeers = found->second.waitingAtPeers;
       // Requests sent to the life before still end here one by one.
       fresh.running = std::move(found->second.running);
     } else {
       for (const auto& [peer, uses] : this->peers) {
         const auto use = uses.find(aEntry.id.value);
         if (use != uses.end()) {
-          fresh.runningOfPeers += use->second.running;
-          fresh.waitingOfPeers += use->second.waiting;
+          fresh.runningFromPeers += use->second.running;
+          fresh.waitingAtPeers += use->second.waiting;
         }
       }
     }
@@ -194,10 +194,10 @@
   UpstreamState& upstream = this->upstreams[aEntry.id];
   upstream.entry = aEntry;
   upstream.entry.leaving = aEntry.leaving || (isSameLife && last->leaving);
-  upstream.coldUntil = aNow + aEntry.coldLeft;
-  upstream.goneAt.reset();
+  upstream.coldUntil = aNow + aEntry.coldRemaining;
+  upstream.removeAt.reset();
   this->gone.erase(aEntry.id);
-  return newLife ? EntryChange::kNewLife : EntryChange::kUpdated;
+  return newLife ? EntryChange::kNewIncarnation : EntryChange::kUpdated;
 }
 
 void Upstreams::RemoveEntry(const state::UpstreamId& aId, TimePoint aNow,
@@ -211,8 +211,8 @@
     this->Forget(aId, aNow);
     return;
   }
-  if (!found->second.goneAt) {
-    found->second.goneAt = aNow + aGrace;
+  if (!found->second.removeAt) {
+    found->second.removeAt = aNow + aGrace;
   }
 }
 
@@ -220,7 +220,7 @@
 {
   std::vector<state::UpstreamId> over;
   for (const auto& [id, upstream] : this->upstreams) {
-    if (upstream.goneAt && *upstream.goneAt <= aNow) {
+    if (upstream.removeAt && *upstream.removeAt <= aNow) {
       over.push_back(id);
     }
   }
@@ -281,8 +281,8 @@
       [this](const UpstreamState* aOne) { return this->IsUsable(*aOne); });
     for (std::size_t i = 0; i < usable.size(); ++i) {
       UpstreamState* one = usable[i];
-      one->isOfCell = OverlapsRange(this->cellRange, i, usable.size());
-      (one->isOfCell ? service.inCell : service.inOtherCells).push_back(one);
+      one->isInCell = OverlapsRange(this->cellRange, i, usable.size());
+      (one->isInCell ? service.inCell : service.inOtherCells).push_back(one);
     }
   }
 }
@@ -304,7 +304,7 @@
   std::vector<UpstreamState*> fresh;
   std::ranges::copy_if(
     known, std::back_inserter(fresh), [aNow](const UpstreamState* aOne) {
-      return !aOne->learntCold && aNow - aOne->learntAt < 2 * kSlowSpellKept;
+      return !aOne->measuredWhileCold && aNow - aOne->measuredAt < 2 * kSlowSpellKept;
     });
   return meanOf(fresh.empty() ? known : fresh);
 }
@@ -337,12 +337,12 @@
   switch (aClass) {
     case AttemptResult::kServed:
       LearnServiceTime(*upstream, OwnMs(*upstream, tookMs, aBefore), 1, aNow);
-      ++upstream->freshAnswers;
-      upstream->freshSumMs += OwnMs(*upstream, tookMs, aBefore);
+      ++upstream->unreportedAnswers;
+      upstream->unreportedSumMs += OwnMs(*upstream, tookMs, aBefore);
       Average(upstream->failureShare, 0, kFailureWeight);
-      upstream->failuresInARow = 0;
-      upstream->fullInARow = 0;
-      upstream->ejection = milliseconds(0);
+      upstream->consecutiveFailures = 0;
+      upstream->consecutiveFullRefusals = 0;
+      upstream->ejectionTime = milliseconds(0);
       return;
     case AttemptResult::kAbandoned:
       // It took at least so long; a shorter time says nothing.
@@ -355,7 +355,7 @@
     case AttemptResult::kRefused:
       Average(upstream->failureShare, 1, kFailureWeight);
       if (IsFull(aLoad)) {
-        ++upstream->fullInARow;
+        ++upstream->consecutiveFullRefusals;
         upstream->fullUntil = aNow + FullFor(*upstream, this->hostCount);
       }
       return;
@@ -364,10 +364,10 @@
       break;
   }
   Average(upstream->failureShare, 1, kFailureWeight);
-  ++upstream->failuresInARow;
+  ++upstream->consecutiveFailures;
   const int most = aClass == AttemptResult::kUnreachable ? kUnreachableToEject
                                                        : kFailuresToEject;
-  if (upstream->failuresInARow >= most && upstream->ejectedUntil <= aNow) {
+  if (upstream->consecutiveFailures >= most && upstream->ejectedUntil <= aNow) {
     Eject(*upstream, aNow);
   }
 }
@@ -394,8 +394,8 @@
     if (upstream == nullptr) {
       continue;
     }
-    upstream->runningOfPeers += report.running;
-    upstream->waitingOfPeers += report.waiting;
+    upstream->runningFromPeers += report.running;
+    upstream->waitingAtPeers += report.waiting;
     if (report.answers > 0) {
       LearnServiceTime(*upstream, report.serviceMs, report.answers, aNow);
     }
@@ -415,16 +415,16 @@
   std::vector<UpstreamReport> reports;
   for (auto& [id, upstream] : this->upstreams) {
     const int own = static_cast<int>(upstream.running.size());
-    if (own == 0 && upstream.freshAnswers == 0 && upstream.waiting == 0) {
+    if (own == 0 && upstream.unreportedAnswers == 0 && upstream.waiting == 0) {
       continue;
     }
-    const double mean = upstream.freshAnswers == 0
+    const double mean = upstream.unreportedAnswers == 0
                           ? 0
-                          : upstream.freshSumMs / upstream.freshAnswers;
+                          : upstream.unreportedSumMs / upstream.unreportedAnswers;
     reports.push_back(
-      { id, own, upstream.freshAnswers, mean, upstream.waiting });
-    upstream.freshAnswers = 0;
-    upstream.freshSumMs = 0;
+      { id, own, upstream.unreportedAnswers, mean, upstream.waiting });
+    upstream.unreportedAnswers = 0;
+    upstream.unreportedSumMs = 0;
   }
   return reports;
 }
@@ -437,10 +437,10 @@
   }
   for (const auto& [id, use] : found->second) {
     if (UpstreamState* upstream = this->Find({ id })) {
-      upstream->runningOfPeers =
-        std::max(0, upstream->runningOfPeers - use.running);
-      upstream->waitingOfPeers =
-        std::max(0, upstream->waitingOfPeers - use.waiting);
+      upstream->runningFromPeers =
+        std::max(0, upstream->runningFromPeers - use.running);
+      upstream->waitingAtPeers =
+        std::max(0, upstream->waitingAtPeers - use.waiting);
     }
   }
   this->peers.erase(found);
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -475,7 +475,7 @@
       states[i].entry.slots = 3;
       states[i].entry.dataCentre = { i == 0 ? "near" : "far" };
       states[i].serviceMs = i == 0 ? 150 : 100;
-      states[i].learntAt = this->now;
+      states[i].measuredAt = this->now;
       candidates.push_back(&states[i]);
     }
     PlacementContext question;
@@ -514,7 +514,7 @@
       CPPUNIT_ASSERT(ChooseUpstream(candidates, question, below) == &states[0]);
     }
     // A near one that is full is no reason to wait.
-    states[0].runningOfPeers = 4;
+    states[0].runningFromPeers = 4;
     CPPUNIT_ASSERT(ChooseUpstream(candidates, question, below) != &states[0]);
   }
 
@@ -751,7 +751,7 @@
     entry.address = "10.0.0.1:80";
     entry.dataCentre = { aCentre };
     entry.slots = 3;
-    entry.born = 1;
+    entry.startedMs = 1;
     this->upstreams.PutEntry(entry, this->now);
   }
 
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadworld.h
@@ -169,7 +169,7 @@
       one.entry.address = "10.0.0.1:80";
       one.entry.dataCentre = { std::to_string(i % this->options.dataCentres) };
       one.entry.slots = this->options.slots;
-      one.entry.born = 1;
+      one.entry.startedMs = 1;
       one.pace =
         this->options
           .paces[static_cast<std::size_t>(i) % this->options.paces.size()];
--- a/src/routing/tests/upstreams_test.cpp
+++ b/src/routing/tests/upstreams_test.cpp
@@ -203,7 +203,7 @@
     entry.id = { aId };
     entry.service = { "stoc" };
     entry.slots = 3;
-    entry.coldLeft = aCold;
+    entry.coldRemaining = aCold;
     this->upstreams.PutEntry(entry, this->now);
   }
 
@@ -242,7 +242,7 @@
     entry.service = { "stoc" };
     entry.slots = 3;
     entry.leaving = aLeaving;
-    entry.born = aBorn;
+    entry.startedMs = aBorn;
     this->upstreams.PutEntry(entry, this->now);
   }
 
--- a/src/routing/upstreams.h
+++ b/src/routing/upstreams.h
@@ -31,9 +31,9 @@
   // It takes no new work and will end.
   bool leaving = false;
   // How much longer it is cold, from when the entry was written.
-  std::chrono::milliseconds coldLeft{ 0 };
+  std::chrono::milliseconds coldRemaining{ 0 };
   // Unix milliseconds of its start: one life has one value. 0: not told.
-  std::int64_t born = 0;
+  std::int64_t startedMs = 0;
   // Counts the entries that one life has written.
   std::int64_t sequence = 0;
 };
@@ -44,7 +44,7 @@
   // An earlier word of this life, or one of an older life.
   kOutdated,
   kUpdated,
-  kNewLife,
+  kNewIncarnation,
 };
 
 std::string_view EntryChangeName(EntryChange aChange);
@@ -94,42 +94,42 @@
   TimePoint coldUntil;
   // Of those that this host's cell counts; see ServiceUpstreams. Set by the
   // index.
-  bool isOfCell = true;
+  bool isInCell = true;
   // When each request of this host that still runs there was sent.
   std::multiset<TimePoint> running;
   // Of all peers that were heard lately.
-  int runningOfPeers = 0;
+  int runningFromPeers = 0;
   // As in UpstreamReport, of this host and of its peers.
   int waiting = 0;
-  int waitingOfPeers = 0;
+  int waitingAtPeers = 0;
   // What a request takes there when it need not wait, in milliseconds; a
   // moving average, 0 until something was learnt.
   double serviceMs = 0;
   // When it was learnt last, and whether from answers of its cold time alone.
-  TimePoint learntAt;
-  bool learntCold = false;
+  TimePoint measuredAt;
+  bool measuredWhileCold = false;
   // Of answers to this host that its peers have not been told of.
-  int freshAnswers = 0;
-  double freshSumMs = 0;
+  int unreportedAnswers = 0;
+  double unreportedSumMs = 0;
   // The last figure that it told of its own pace, and when.
   double slowdown = 1;
   TimePoint slowdownAt;
   // Moving average of failures and refusals, 0 to 1.
   double failureShare = 0;
-  int failuresInARow = 0;
+  int consecutiveFailures = 0;
   // It has refused as full; a slot falls free about then.
   TimePoint fullUntil;
   // Such refusals since it last served this host.
-  int fullInARow = 0;
+  int consecutiveFullRefusals = 0;
   // Gets nothing until then, and after that one request at a time.
   TimePoint ejectedUntil;
-  std::chrono::milliseconds ejection{ 0 };
+  std::chrono::milliseconds ejectionTime{ 0 };
   // Its entry went while the store was in trouble; see Remove.
-  std::optional<TimePoint> goneAt;
+  std::optional<TimePoint> removeAt;
 
   int Outstanding() const
   {
-    return static_cast<int>(this->running.size()) + this->runningOfPeers;
+    return static_cast<int>(this->running.size()) + this->runningFromPeers;
   }
 };
 
