--- a/src/routing/tests/load_test.cpp
+++ b/src/routing/tests/load_test.cpp
@@ -1,7 +1,7 @@
 // What callers get under load, with several hosts that know of each other by
 // digests only.
 
-#include "routing/tests/loadworld.h"
+#include "routing/tests/loadsimulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -26,9 +26,9 @@
   // centre; now 5, and 988 of 1000 in time instead of 980 (this test).
   void testBookingsStayNear()
   {
-    LoadWorld::Options options;
+    LoadSimulation::Options options;
     options.answerBytes = 9000;
-    const LoadResult load = LoadWorld(options).Play(std::chrono::seconds(30));
+    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(30));
     CPPUNIT_ASSERT(load.FarShare() < 0.1);
     CPPUNIT_ASSERT(load.InTimeShare() > 0.98);
     CPPUNIT_ASSERT_EQUAL(0, load.refused);
@@ -38,14 +38,14 @@
   // still be in time wait: none crosses, where 9 of 100 did, and none is late.
   void testDownloadsStayNear()
   {
-    LoadWorld::Options options;
+    LoadSimulation::Options options;
     options.answerBytes = 90'000;
     options.meanMs = 130;
     options.sigma = 0.3;
     options.load = 0.45;
     options.target = std::chrono::milliseconds(400);
     options.deadline = std::chrono::milliseconds(1000);
-    const LoadResult load = LoadWorld(options).Play(std::chrono::seconds(30));
+    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(30));
     CPPUNIT_ASSERT(load.FarShare() < 0.01);
     CPPUNIT_ASSERT(load.InTimeShare() > 0.99);
   }
@@ -55,7 +55,7 @@
   // as its own, 18 of 1000 were refused and 937 in time; now 10 and 946.
   void testOwnersFullForMoments()
   {
-    LoadWorld::Options options;
+    LoadSimulation::Options options;
     options.keyed = true;
     options.meanMs = 160;
     options.sigma = 0.8;
@@ -63,7 +63,7 @@
     options.paces = { 1.0 };
     options.target = std::chrono::milliseconds(500);
     options.deadline = std::chrono::milliseconds(1200);
-    const LoadResult load = LoadWorld(options).Play(std::chrono::seconds(30));
+    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(30));
     CPPUNIT_ASSERT(load.RefusedShare() < 0.015);
     CPPUNIT_ASSERT(load.InTimeShare() > 0.94);
   }
@@ -72,10 +72,10 @@
   // arrivals were refused, now 16.
   void testHotKeyOfManyHostsLeavesOtherKeysServed()
   {
-    LoadWorld::Options options = ManyHosts();
+    LoadSimulation::Options options = ManyHosts();
     options.hotShare = 0.25;
     options.load = 0.5;
-    const LoadResult load = LoadWorld(options).Play(std::chrono::seconds(10));
+    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(10));
     CPPUNIT_ASSERT(load.InTimeShareOfOthers() > 0.99);
     CPPUNIT_ASSERT(load.RejectedShare() < 0.2);
   }
@@ -85,11 +85,11 @@
   // that is longer than they wait: 89 of 100 in time, now 95.
   void testCallersRefusedByAFaultyOwnerAreServedInTime()
   {
-    LoadWorld::Options options = ManyHosts();
+    LoadSimulation::Options options = ManyHosts();
     options.faultyShare = 0.35;
     options.refusedByFaulty = 0.45;
     options.load = 0.4;
-    const LoadResult load = LoadWorld(options).Play(std::chrono::seconds(10));
+    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(10));
     CPPUNIT_ASSERT(load.InTimeShare() > 0.95);
     CPPUNIT_ASSERT(load.RefusedShare() < 0.05);
   }
@@ -97,12 +97,12 @@
   // Half of the callers of one data centre turn up in the next one.
   void testHalfOfADataCentresCallersMove()
   {
-    LoadWorld::Options options = ManyHosts(5);
+    LoadSimulation::Options options = ManyHosts(5);
     options.movedShare = 0.5;
     options.load = 0.5;
     for (const bool keyed : { false, true }) {
       options.keyed = keyed;
-      const LoadResult load = LoadWorld(options).Play(std::chrono::seconds(10));
+      const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(10));
       CPPUNIT_ASSERT(load.InTimeShare() > 0.95);
       CPPUNIT_ASSERT(load.RefusedShare() < 0.02);
     }
@@ -110,10 +110,10 @@
 
 private:
   // 120 hosts, as many cells as data centres, upstreams of three slots.
-  static LoadWorld::Options ManyHosts(int aCentres = 20)
+  static LoadSimulation::Options ManyHosts(int aCentres = 20)
   {
     constexpr int kHosts = 120;
-    LoadWorld::Options options;
+    LoadSimulation::Options options;
     options.dataCentres = aCentres;
     options.hostsPerCentre = kHosts / aCentres;
     options.upstreamsPerCentre = kHosts / aCentres;
--- a/src/routing/tests/loadworld.h
+++ b/src/routing/tests/loadsimulation.h
@@ -58,7 +58,7 @@
   double Share(int aCount) const { return Of(aCount, this->asked); }
 };
 
-class LoadWorld
+class LoadSimulation
 {
 public:
   struct Options
@@ -96,7 +96,7 @@
     std::uint32_t seed = 1;
   };
 
-  explicit LoadWorld(const Options& aOptions)
+  explicit LoadSimulation(const Options& aOptions)
     : options(aOptions)
     , random(aOptions.seed)
   {
