--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -251,7 +251,8 @@
       this->upstreamClient->Cancel(call->second);
     }
   };
-  hooks.findOwner = [this](const state::ServiceName& aService, routing::Key aKey) {
+  hooks.findOwner = [this](const state::ServiceName& aService,
+                           routing::Key aKey) {
     const ownership::KeyMap* map = this->keys->MapOf(aService);
     if (map == nullptr) {
       return routing::KeyOwner{};
@@ -260,8 +261,8 @@
     const ownership::KeyMap::Owner owner = map->OwnerOf(aKey, now);
     return routing::KeyOwner{ owner.upstream, now - owner.since };
   };
-  hooks.reportNotOwner = [this](const state::ServiceName& aService, routing::Key aKey,
-                          const state::UpstreamId&) {
+  hooks.reportNotOwner = [this](const state::ServiceName& aService,
+                                routing::Key aKey, const state::UpstreamId&) {
     if (ownership::KeyMap* map = this->keys->MapOf(aService)) {
       map->OnNotOwner(aKey, BootTime());
     }
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -150,20 +150,23 @@
     std::make_shared<const routing::RouteTable>(std::move(*configuration));
   this->dispatcher->SetRoutes(this->routes);
   std::set<state::ServiceName> keyed;
-  for (const routing::Service& service : this->routes->CurrentConfiguration().services) {
+  for (const routing::Service& service :
+       this->routes->CurrentConfiguration().services) {
     if (service.keyed) {
       keyed.insert(service.name);
     }
   }
   this->keys->SetServices(keyed);
-  const routing::CallerLimits& limits = this->routes->CurrentConfiguration().limits;
+  const routing::CallerLimits& limits =
+    this->routes->CurrentConfiguration().limits;
   this->callerServer->SetLimits(limits.maxHeaderBytes, limits.maxBodyBytes,
                                 limits.headerTimeout, limits.idleTimeout);
   const TimePoint end = BootTime();
   this->configurationDue =
     end + std::min<Duration>(kMostPause, kPausePerRead * (end - begin));
-  this->log.Write(Event::kConfigurationInForce,
-                  { { "version", this->routes->CurrentConfiguration().version } });
+  this->log.Write(
+    Event::kConfigurationInForce,
+    { { "version", this->routes->CurrentConfiguration().version } });
 }
 
 bool Gateway::Impl::IsConfigurationBehind() const
@@ -191,7 +194,8 @@
           { "data_centre", entry->dataCentre.value },
           { "change", routing::EntryChangeName(change) },
           { "leaving", static_cast<std::int64_t>(entry->leaving) },
-          { "cold_ms", static_cast<std::int64_t>(entry->coldRemaining.count()) },
+          { "cold_ms",
+            static_cast<std::int64_t>(entry->coldRemaining.count()) },
           { "version", row.version } });
     } else {
       this->upstreams.RemoveEntry({ row.key }, now, aGrace);
--- a/src/routing/cells.h
+++ b/src/routing/cells.h
@@ -76,6 +76,7 @@
 // Whether the upstream at aPlace of aCount belongs to the cell: it does to each
 // that it overlaps, so that even a service with fewer upstreams than there are
 // cells leaves none without.
-bool OverlapsRange(const FractionRange& aSpan, std::size_t aPlace, std::size_t aCount);
+bool OverlapsRange(const FractionRange& aSpan, std::size_t aPlace,
+                   std::size_t aCount);
 
 } // namespace kumquat::routing
--- a/src/routing/configuration.h
+++ b/src/routing/configuration.h
@@ -93,10 +93,14 @@
   RouteTable() = default;
   explicit RouteTable(Configuration aConfiguration);
 
-  const Configuration& CurrentConfiguration() const { return this->configuration; }
+  const Configuration& CurrentConfiguration() const
+  {
+    return this->configuration;
+  }
 
   // Null where no route matches. aTarget may carry a query.
-  const Route* FindRoute(std::string_view aHostName, std::string_view aTarget) const;
+  const Route* FindRoute(std::string_view aHostName,
+                         std::string_view aTarget) const;
   // Null where the configuration has no such service.
   const Service* FindService(const state::ServiceName& aName) const;
 
--- a/src/routing/internal/cells.cpp
+++ b/src/routing/internal/cells.cpp
@@ -37,7 +37,8 @@
 
 } // namespace
 
-bool OverlapsRange(const FractionRange& aSpan, std::size_t aPlace, std::size_t aCount)
+bool OverlapsRange(const FractionRange& aSpan, std::size_t aPlace,
+                   std::size_t aCount)
 {
   // A shared end is no overlap, also where it was rounded.
   constexpr double kRounding = 1e-9;
@@ -90,7 +91,7 @@
     last = ofCentre.begin() + startOf(cell + 1);
     const auto all = static_cast<double>(this->hosts.size());
     this->ownRange = { static_cast<double>(first - begin) / all,
-                   static_cast<double>(last - begin) / all };
+                       static_cast<double>(last - begin) / all };
   }
   std::transform(first, last, std::inserter(this->members, this->members.end()),
                  [](const CellHost& aHost) { return aHost.id; });
--- a/src/routing/internal/coldratelimiter.cpp
+++ b/src/routing/internal/coldratelimiter.cpp
@@ -28,7 +28,7 @@
 }
 
 bool ColdRateLimiter::MaySend(const state::UpstreamId& aId, double aPerSecond,
-                       TimePoint aNow) const
+                              TimePoint aNow) const
 {
   if (aPerSecond <= 0) {
     return true;
@@ -49,7 +49,7 @@
 }
 
 bool ColdRateLimiter::IsSender(const state::UpstreamId& aId,
-                        std::size_t aFeeders) const
+                               std::size_t aFeeders) const
 {
   const std::uint64_t own = RendezvousScore(this->self.value, aId.value);
   const auto higher =
--- a/src/routing/internal/configuration.cpp
+++ b/src/routing/internal/configuration.cpp
@@ -29,7 +29,7 @@
 }
 
 const Route* RouteTable::FindRoute(std::string_view aHostName,
-                              std::string_view aTarget) const
+                                   std::string_view aTarget) const
 {
   std::string_view prefix = aTarget.substr(0, aTarget.find('?'));
   for (auto slash = prefix.rfind('/'); slash != std::string_view::npos;
--- a/src/routing/internal/dispatcher.cpp
+++ b/src/routing/internal/dispatcher.cpp
@@ -172,7 +172,7 @@
   request->respond = std::move(aRespond);
   request->routes = this->routes;
   request->route = this->routes->FindRoute(request->caller.hostName,
-                                      request->caller.message.target);
+                                           request->caller.message.target);
   const TimePoint arrived = request->caller.arrived;
   if (request->route == nullptr) {
     request->deadline = this->deadlines.end();
@@ -332,8 +332,8 @@
                                std::string_view aWord)
 {
   const TimePoint now = this->hooks.now();
-  this->upstreams.OnAttemptEnded(aRequest.upstream, aRequest.sentAt, aRequest.before,
-                           aClass, aLoad, now);
+  this->upstreams.OnAttemptEnded(aRequest.upstream, aRequest.sentAt,
+                                 aRequest.before, aClass, aLoad, now);
   aRequest.isRunning = false;
   if (aRequest.isElsewhere) {
     const bool busy =
@@ -354,7 +354,8 @@
   aRequest.story += std::to_string(aRequest.before);
 }
 
-void Dispatcher::OnUpstreamResponse(RequestNumber aNumber, UpstreamResponse aAnswer)
+void Dispatcher::OnUpstreamResponse(RequestNumber aNumber,
+                                    UpstreamResponse aAnswer)
 {
   const auto found = this->requests.find(aNumber);
   if (found == this->requests.end() || !found->second->isRunning) {
@@ -371,7 +372,8 @@
       this->upstreams.OnReplaced(request->upstream, request->address,
                                  this->hooks.now());
     } else if (request->caller.key) {
-      this->hooks.reportNotOwner(service, *request->caller.key, request->upstream);
+      this->hooks.reportNotOwner(service, *request->caller.key,
+                                 request->upstream);
       // The same upstream may be its owner again.
       std::erase(request->tried, request->upstream);
       request->notBefore = this->hooks.now() + kMovingPause;
@@ -393,7 +395,8 @@
     ++request->mayHaveRunAt;
     this->Resend(request, ErrorKind::kUpstreamBroken);
   } else if (IsServerError(status)) {
-    this->LeaveUpstream(*request, AttemptResult::kFailed, aAnswer.load, "failed");
+    this->LeaveUpstream(*request, AttemptResult::kFailed, aAnswer.load,
+                        "failed");
     ++request->mayHaveRunAt;
     if (IsIdempotent(request->route->kind) &&
         this->MayResend(*request, ErrorKind::kUpstreamFailed)) {
@@ -402,7 +405,8 @@
       this->Finish(request, { std::move(aAnswer.message), {}, {} });
     }
   } else {
-    this->LeaveUpstream(*request, AttemptResult::kServed, aAnswer.load, "served");
+    this->LeaveUpstream(*request, AttemptResult::kServed, aAnswer.load,
+                        "served");
     this->LearnBytes(
       *request, aAnswer.message.length.value_or(aAnswer.message.body.size()));
     this->Finish(request, { std::move(aAnswer.message), {}, {} });
@@ -451,9 +455,9 @@
   }
   const ErrorKind kind = KindOf(aError);
   const bool sent = aError != TransportError::kUnreachable;
-  this->LeaveUpstream(*request,
-                      sent ? AttemptResult::kFailed : AttemptResult::kUnreachable,
-                      {}, protocol::ErrorInfoFor(kind).name);
+  this->LeaveUpstream(
+    *request, sent ? AttemptResult::kFailed : AttemptResult::kUnreachable, {},
+    protocol::ErrorInfoFor(kind).name);
   request->mayHaveRunAt += sent ? 1 : 0;
   this->Resend(request, kind);
   this->Pump(service);
@@ -500,7 +504,8 @@
     return false;
   }
   const TimePoint now = this->hooks.now();
-  if (!CanMeetDeadline(aRequest.waiting, now, this->UsualMs(aRequest.service))) {
+  if (!CanMeetDeadline(aRequest.waiting, now,
+                       this->UsualMs(aRequest.service))) {
     return false;
   }
   // A send that never left is no arrival anywhere.
--- a/src/routing/internal/dispatcherchoice.cpp
+++ b/src/routing/internal/dispatcherchoice.cpp
@@ -40,7 +40,8 @@
 
 double Dispatcher::UsualMs(const state::ServiceName& aName)
 {
-  const double known = this->upstreams.TypicalServiceMs(aName, this->hooks.now());
+  const double known =
+    this->upstreams.TypicalServiceMs(aName, this->hooks.now());
   return known > 0 ? known : kUnknownServiceMs;
 }
 
@@ -60,11 +61,12 @@
   ServiceState& service = this->StateOf(aRequest.service);
   outlook.queued = service.waiting.size();
   const TimePoint now = this->hooks.now();
-  const ServiceUpstreams& upstreamsOf = this->upstreams.ForService(aRequest.service);
+  const ServiceUpstreams& upstreamsOf =
+    this->upstreams.ForService(aRequest.service);
   for (const UpstreamState* one : upstreamsOf.inCell) {
     if (one->ejectedUntil <= now) {
-      outlook.perSecond +=
-        1000.0 * one->entry.slots / EstimatedServiceMs(*one, outlook.typicalMs, now);
+      outlook.perSecond += 1000.0 * one->entry.slots /
+                           EstimatedServiceMs(*one, outlook.typicalMs, now);
     }
   }
   outlook.perSecond /= static_cast<double>(this->cellCount);
@@ -86,7 +88,8 @@
   const UpstreamState* one = this->upstreams.Find(owner.upstream);
   if (one == nullptr || !this->upstreams.IsUsable(*one)) {
     outlook.queued = 1;
-    outlook.perSecond = owner.unchangedFor < kMoveTakes ? 1000.0 / outlook.typicalMs : 0;
+    outlook.perSecond =
+      owner.unchangedFor < kMoveTakes ? 1000.0 / outlook.typicalMs : 0;
     return outlook;
   }
   const TimePoint now = this->hooks.now();
@@ -153,7 +156,8 @@
   if (this->KeepsNear(aRequest, question)) {
     KeepOnlyNear(candidates, question);
   }
-  const UpstreamState* near = ChooseUpstream(candidates, question, this->hooks.random);
+  const UpstreamState* near =
+    ChooseUpstream(candidates, question, this->hooks.random);
   return near != nullptr ? near : this->ChooseElsewhere(aRequest, question);
 }
 
@@ -176,7 +180,7 @@
   constexpr double kLargeBytes = 20'000;
   return aQuestion.bytes >= kLargeBytes &&
          CanMeetTarget(aRequest.waiting, aQuestion.now + kFarSooner,
-                  aQuestion.typicalMs);
+                       aQuestion.typicalMs);
 }
 
 // Of a few drawn at random: this host knows little of any of them, and would
--- a/src/routing/internal/placement.cpp
+++ b/src/routing/internal/placement.cpp
@@ -55,8 +55,8 @@
 double ExpectedMs(const UpstreamState& aUpstream,
                   const PlacementContext& aQuestion)
 {
-  double own = EstimatedServiceMs(aUpstream, kShareWhereUnknown * aQuestion.typicalMs,
-                            aQuestion.now);
+  double own = EstimatedServiceMs(
+    aUpstream, kShareWhereUnknown * aQuestion.typicalMs, aQuestion.now);
   own = std::max(own, OverdueMs(aUpstream, aQuestion.now, own));
   if (aUpstream.slowdown > 1 &&
       aQuestion.now - aUpstream.slowdownAt < kSlowdownHolds) {
@@ -79,9 +79,9 @@
   return aUpstream.Outstanding() < aUpstream.entry.slots + kAhead;
 }
 
-const UpstreamState* ChooseUpstream(const std::vector<UpstreamState*>& aCandidates,
-                           const PlacementContext& aQuestion,
-                           const RandomBelow& aRandom)
+const UpstreamState* ChooseUpstream(
+  const std::vector<UpstreamState*>& aCandidates,
+  const PlacementContext& aQuestion, const RandomBelow& aRandom)
 {
   std::vector<const UpstreamState*> open;
   std::ranges::copy_if(aCandidates, std::back_inserter(open),
--- a/src/routing/internal/upstreams.cpp
+++ b/src/routing/internal/upstreams.cpp
@@ -55,9 +55,10 @@
 
 void Eject(UpstreamState& aUpstream, TimePoint aNow)
 {
-  aUpstream.ejectionTime = aUpstream.ejectionTime.count() == 0
-                         ? kFirstEjection
-                         : std::min(kLongestEjection, aUpstream.ejectionTime * 2);
+  aUpstream.ejectionTime =
+    aUpstream.ejectionTime.count() == 0
+      ? kFirstEjection
+      : std::min(kLongestEjection, aUpstream.ejectionTime * 2);
   aUpstream.ejectedUntil = aNow + aUpstream.ejectionTime;
 }
 
@@ -88,7 +89,8 @@
   const double ms =
     std::max(kLeastMs, aUpstream.serviceMs / aUpstream.entry.slots);
   const double most = std::max(1.0, static_cast<double>(aHosts) / kHostsAtEase);
-  const double times = std::min(most, std::exp2(aUpstream.consecutiveFullRefusals - 1));
+  const double times =
+    std::min(most, std::exp2(aUpstream.consecutiveFullRefusals - 1));
   return std::chrono::duration_cast<Duration>(
     std::chrono::duration<double, std::milli>(ms * times));
 }
@@ -119,9 +121,10 @@
 } // namespace
 
 double EstimatedServiceMs(const UpstreamState& aUpstream, double aUsualMs,
-                    TimePoint aNow)
+                          TimePoint aNow)
 {
-  const bool isOfColdTime = aUpstream.measuredWhileCold && aUpstream.coldUntil <= aNow;
+  const bool isOfColdTime =
+    aUpstream.measuredWhileCold && aUpstream.coldUntil <= aNow;
   if (aUpstream.serviceMs <= 0 || isOfColdTime) {
     return aUsualMs;
   }
@@ -165,13 +168,14 @@
 {
   const auto found = this->upstreams.find(aEntry.id);
   const std::optional<LastWord> last = this->LastWordOf(aEntry.id);
-  const bool isSameLife = last && aEntry.startedMs != 0 && last->born == aEntry.startedMs;
+  const bool isSameLife =
+    last && aEntry.startedMs != 0 && last->born == aEntry.startedMs;
   if (last && (last->born > aEntry.startedMs ||
                (isSameLife && last->sequence > aEntry.sequence))) {
     return EntryChange::kOutdated;
   }
-  const bool newLife =
-    found == this->upstreams.end() || found->second.entry.startedMs < aEntry.startedMs;
+  const bool newLife = found == this->upstreams.end() ||
+                       found->second.entry.startedMs < aEntry.startedMs;
   if (newLife) {
     UpstreamState fresh;
     if (found != this->upstreams.end()) {
@@ -201,7 +205,7 @@
 }
 
 void Upstreams::RemoveEntry(const state::UpstreamId& aId, TimePoint aNow,
-                       milliseconds aGrace)
+                            milliseconds aGrace)
 {
   const auto found = this->upstreams.find(aId);
   if (found == this->upstreams.end()) {
@@ -255,7 +259,8 @@
   return found == this->upstreams.end() ? nullptr : &found->second;
 }
 
-const ServiceUpstreams& Upstreams::ForService(const state::ServiceName& aService)
+const ServiceUpstreams& Upstreams::ForService(
+  const state::ServiceName& aService)
 {
   if (!this->isIndexed) {
     this->Index();
@@ -287,7 +292,8 @@
   }
 }
 
-double Upstreams::TypicalServiceMs(const state::ServiceName& aService, TimePoint aNow)
+double Upstreams::TypicalServiceMs(const state::ServiceName& aService,
+                                   TimePoint aNow)
 {
   const auto meanOf = [](const std::vector<UpstreamState*>& aSome) {
     const double sum =
@@ -302,10 +308,11 @@
     this->ForService(aService).all, std::back_inserter(known),
     [](const UpstreamState* aOne) { return aOne->serviceMs > 0; });
   std::vector<UpstreamState*> fresh;
-  std::ranges::copy_if(
-    known, std::back_inserter(fresh), [aNow](const UpstreamState* aOne) {
-      return !aOne->measuredWhileCold && aNow - aOne->measuredAt < 2 * kSlowSpellKept;
-    });
+  std::ranges::copy_if(known, std::back_inserter(fresh),
+                       [aNow](const UpstreamState* aOne) {
+                         return !aOne->measuredWhileCold &&
+                                aNow - aOne->measuredAt < 2 * kSlowSpellKept;
+                       });
   return meanOf(fresh.empty() ? known : fresh);
 }
 
@@ -317,9 +324,9 @@
 }
 
 void Upstreams::OnAttemptEnded(const state::UpstreamId& aId, TimePoint aSent,
-                         int aBefore, AttemptResult aClass,
-                         const std::optional<UpstreamLoad>& aLoad,
-                         TimePoint aNow)
+                               int aBefore, AttemptResult aClass,
+                               const std::optional<UpstreamLoad>& aLoad,
+                               TimePoint aNow)
 {
   UpstreamState* upstream = this->Find(aId);
   if (upstream == nullptr) {
@@ -366,7 +373,7 @@
   Average(upstream->failureShare, 1, kFailureWeight);
   ++upstream->consecutiveFailures;
   const int most = aClass == AttemptResult::kUnreachable ? kUnreachableToEject
-                                                       : kFailuresToEject;
+                                                         : kFailuresToEject;
   if (upstream->consecutiveFailures >= most && upstream->ejectedUntil <= aNow) {
     Eject(*upstream, aNow);
   }
@@ -383,8 +390,8 @@
 }
 
 void Upstreams::OnPeerReports(const state::HostId& aPeer,
-                       const std::vector<UpstreamReport>& aReports,
-                       TimePoint aNow)
+                              const std::vector<UpstreamReport>& aReports,
+                              TimePoint aNow)
 {
   this->ForgetPeer(aPeer);
   std::unordered_map<std::string, PeerUse>& uses = this->peers[aPeer];
@@ -418,9 +425,10 @@
     if (own == 0 && upstream.unreportedAnswers == 0 && upstream.waiting == 0) {
       continue;
     }
-    const double mean = upstream.unreportedAnswers == 0
-                          ? 0
-                          : upstream.unreportedSumMs / upstream.unreportedAnswers;
+    const double mean =
+      upstream.unreportedAnswers == 0
+        ? 0
+        : upstream.unreportedSumMs / upstream.unreportedAnswers;
     reports.push_back(
       { id, own, upstream.unreportedAnswers, mean, upstream.waiting });
     upstream.unreportedAnswers = 0;
--- a/src/routing/internal/waiting.cpp
+++ b/src/routing/internal/waiting.cpp
@@ -42,12 +42,14 @@
 
 } // namespace
 
-bool CanMeetTarget(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs)
+bool CanMeetTarget(const WaitingRequest& aRequest, TimePoint aNow,
+                   double aUsualMs)
 {
   return MsDouble(aRequest.target - aNow).count() >= kInTimeShare * aUsualMs;
 }
 
-bool CanMeetDeadline(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs)
+bool CanMeetDeadline(const WaitingRequest& aRequest, TimePoint aNow,
+                     double aUsualMs)
 {
   return MsDouble(aRequest.deadline - aNow).count() >=
          kLeastShareOfUsual * aUsualMs;
@@ -59,11 +61,12 @@
   const auto beyond = std::chrono::duration_cast<Duration>(
     kLateShare * (aRequest.deadline - aRequest.target));
   return CanMeetDeadline(aRequest, aNow, aUsualMs) &&
-         CanMeetTarget(aRequest, aNow - std::max(Duration(0), beyond), aUsualMs);
+         CanMeetTarget(aRequest, aNow - std::max(Duration(0), beyond),
+                       aUsualMs);
 }
 
 bool IsServedBefore(const WaitingRequest& aOne, const WaitingRequest& aOther,
-                TimePoint aNow, double aUsualMs)
+                    TimePoint aNow, double aUsualMs)
 {
   return RankOf(aOne, aNow, aUsualMs) < RankOf(aOther, aNow, aUsualMs);
 }
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -40,8 +40,8 @@
 // Null where none has room. Of a few candidates drawn at random the one with
 // the shortest expected time is taken: what a host knows of its peers' requests
 // is up to a digest old, and if all took the best they would meet there.
-const UpstreamState* ChooseUpstream(const std::vector<UpstreamState*>& aCandidates,
-                           const PlacementContext& aQuestion,
-                           const RandomBelow& aRandom);
+const UpstreamState* ChooseUpstream(
+  const std::vector<UpstreamState*>& aCandidates,
+  const PlacementContext& aQuestion, const RandomBelow& aRandom);
 
 } // namespace kumquat::routing
--- a/src/routing/tests/cells_test.cpp
+++ b/src/routing/tests/cells_test.cpp
@@ -47,7 +47,8 @@
     for (const CellHost& host : hosts) {
       const Cells cells = CellsOf(host, hosts);
       CPPUNIT_ASSERT(cells.IsDivided());
-      CPPUNIT_ASSERT(cells.Members().size() >= 6 && cells.Members().size() <= 14);
+      CPPUNIT_ASSERT(cells.Members().size() >= 6 &&
+                     cells.Members().size() <= 14);
       for (const CellHost& other : hosts) {
         if (cells.Members().contains(other.id)) {
           CPPUNIT_ASSERT(other.dataCentre == host.dataCentre);
--- a/src/routing/tests/dispatcher_test.cpp
+++ b/src/routing/tests/dispatcher_test.cpp
@@ -530,7 +530,8 @@
     large.message.length = 90'000;
     large.isSigned = true;
     this->dispatcher->OnUpstreamResponse(this->Ask("/look/1"), large);
-    this->upstreams.OnPeerReports({ "h1" }, { { { "a0" }, 4, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "a0" }, 4, 0, 0 } },
+                                  this->now);
     this->sends.clear();
     const auto served = this->Ask("/look/1");
     CPPUNIT_ASSERT(this->sends.empty());
@@ -540,7 +541,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, this->sends.size());
     CPPUNIT_ASSERT_EQUAL(std::string("a0"), this->sends.back().upstream.value);
     this->Answer(served, 200);
-    this->upstreams.OnPeerReports({ "h1" }, { { { "a0" }, 4, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "a0" }, 4, 0, 0 } },
+                                  this->now);
     this->Ask("/look/1");
     for (int ms = 0; ms < 400 && this->sends.size() < 2; ms += 20) {
       this->now += milliseconds(20);
@@ -583,14 +585,16 @@
   void testFullCellBorrowsFromOthers()
   {
     this->upstreams.SetCellRange({ 0, 1.0 / 3 });
-    const UpstreamState* own = this->upstreams.ForService({ "archeb" }).inCell.at(0);
+    const UpstreamState* own =
+      this->upstreams.ForService({ "archeb" }).inCell.at(0);
     for (int i = 0; i < 8; ++i) {
       this->Ask("/look/1");
     }
     const auto elsewhere = [&] {
-      return std::ranges::count_if(this->sends, [&](const UpstreamRequest& aSend) {
-        return aSend.upstream != own->entry.id;
-      });
+      return std::ranges::count_if(this->sends,
+                                   [&](const UpstreamRequest& aSend) {
+                                     return aSend.upstream != own->entry.id;
+                                   });
     };
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 5 }, this->sends.size());
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{ 1 }, elsewhere());
@@ -714,7 +718,7 @@
       return this->owner;
     };
     hooks.reportNotOwner = [](const state::ServiceName&, Key,
-                        const state::UpstreamId&) {};
+                              const state::UpstreamId&) {};
     hooks.onRequestEnded = [](const RequestTrace&) {};
     hooks.onRetry = [this](ErrorKind) { ++this->resent; };
     this->dispatcher.emplace(
@@ -729,7 +733,8 @@
   {
     this->dispatcher->SetHosts(Hosts(12), Hosts(12));
     this->Teach("stoc", 100);
-    this->upstreams.OnPeerReports({ "h1" }, { { { "s0" }, 4, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "s0" }, 4, 0, 0 } },
+                                  this->now);
   }
 
   static std::vector<state::HostId> Hosts(int aCount)
--- a/src/routing/tests/load_test.cpp
+++ b/src/routing/tests/load_test.cpp
@@ -28,7 +28,8 @@
   {
     LoadSimulation::Options options;
     options.answerBytes = 9000;
-    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(30));
+    const LoadResult load =
+      LoadSimulation(options).Play(std::chrono::seconds(30));
     CPPUNIT_ASSERT(load.FarShare() < 0.1);
     CPPUNIT_ASSERT(load.InTimeShare() > 0.98);
     CPPUNIT_ASSERT_EQUAL(0, load.refused);
@@ -45,7 +46,8 @@
     options.load = 0.45;
     options.target = std::chrono::milliseconds(400);
     options.deadline = std::chrono::milliseconds(1000);
-    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(30));
+    const LoadResult load =
+      LoadSimulation(options).Play(std::chrono::seconds(30));
     CPPUNIT_ASSERT(load.FarShare() < 0.01);
     CPPUNIT_ASSERT(load.InTimeShare() > 0.99);
   }
@@ -63,7 +65,8 @@
     options.paces = { 1.0 };
     options.target = std::chrono::milliseconds(500);
     options.deadline = std::chrono::milliseconds(1200);
-    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(30));
+    const LoadResult load =
+      LoadSimulation(options).Play(std::chrono::seconds(30));
     CPPUNIT_ASSERT(load.RefusedShare() < 0.015);
     CPPUNIT_ASSERT(load.InTimeShare() > 0.94);
   }
@@ -75,7 +78,8 @@
     LoadSimulation::Options options = ManyHosts();
     options.hotShare = 0.25;
     options.load = 0.5;
-    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(10));
+    const LoadResult load =
+      LoadSimulation(options).Play(std::chrono::seconds(10));
     CPPUNIT_ASSERT(load.InTimeShareOfOthers() > 0.99);
     CPPUNIT_ASSERT(load.RejectedShare() < 0.2);
   }
@@ -89,7 +93,8 @@
     options.faultyShare = 0.35;
     options.refusedByFaulty = 0.45;
     options.load = 0.4;
-    const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(10));
+    const LoadResult load =
+      LoadSimulation(options).Play(std::chrono::seconds(10));
     CPPUNIT_ASSERT(load.InTimeShare() > 0.95);
     CPPUNIT_ASSERT(load.RefusedShare() < 0.05);
   }
@@ -102,7 +107,8 @@
     options.load = 0.5;
     for (const bool keyed : { false, true }) {
       options.keyed = keyed;
-      const LoadResult load = LoadSimulation(options).Play(std::chrono::seconds(10));
+      const LoadResult load =
+        LoadSimulation(options).Play(std::chrono::seconds(10));
       CPPUNIT_ASSERT(load.InTimeShare() > 0.95);
       CPPUNIT_ASSERT(load.RefusedShare() < 0.02);
     }
--- a/src/routing/tests/loadsimulation.h
+++ b/src/routing/tests/loadsimulation.h
@@ -218,8 +218,9 @@
       host->dispatcher->SetHosts(this->MatesOf(*host), all);
       if (this->options.inCells) {
         const double centre = std::stod(host->dataCentre.value);
-        host->upstreams.SetCellRange({ centre / this->options.dataCentres,
-                                  (centre + 1) / this->options.dataCentres });
+        host->upstreams.SetCellRange(
+          { centre / this->options.dataCentres,
+            (centre + 1) / this->options.dataCentres });
       }
     }
   }
@@ -262,7 +263,7 @@
       return KeyOwner{ owner->first, Duration(0) };
     };
     hooks.reportNotOwner = [](const state::ServiceName&, Key,
-                        const state::UpstreamId&) {};
+                              const state::UpstreamId&) {};
     hooks.onRequestEnded = [](const RequestTrace&) {};
     hooks.onRetry = [](protocol::ErrorKind) {};
     return hooks;
--- a/src/routing/tests/upstreams_test.cpp
+++ b/src/routing/tests/upstreams_test.cpp
@@ -35,7 +35,8 @@
     text.routes = { { .name = "short", .hostName = "h", .prefix = "/a/" },
                     { .name = "long", .hostName = "h", .prefix = "/a/b/" } };
     const RouteTable table(text);
-    CPPUNIT_ASSERT_EQUAL(std::string("long"), table.FindRoute("h", "/a/b/c")->name);
+    CPPUNIT_ASSERT_EQUAL(std::string("long"),
+                         table.FindRoute("h", "/a/b/c")->name);
     CPPUNIT_ASSERT_EQUAL(std::string("short"),
                          table.FindRoute("h", "/a/bc?x=/a/b/")->name);
     CPPUNIT_ASSERT(table.FindRoute("h", "/a") == nullptr);
@@ -91,8 +92,8 @@
   {
     this->Put(1, false);
     this->upstreams.OnSent({ "u" }, this->now);
-    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, AttemptResult::kUnreachable,
-                             {}, this->now);
+    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0,
+                                   AttemptResult::kUnreachable, {}, this->now);
     CPPUNIT_ASSERT(!HasCapacity(*this->upstreams.Find({ "u" }), this->now));
     this->Put(2, false);
     CPPUNIT_ASSERT(HasCapacity(*this->upstreams.Find({ "u" }), this->now));
@@ -126,8 +127,9 @@
     CPPUNIT_ASSERT(HasCapacity(state, this->now));
     this->upstreams.OnSent({ "u" }, this->now);
     CPPUNIT_ASSERT(!HasCapacity(state, this->now));
-    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, AttemptResult::kServed, {},
-                             this->now + milliseconds(50));
+    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0,
+                                   AttemptResult::kServed, {},
+                                   this->now + milliseconds(50));
     this->upstreams.OnSent({ "u" }, this->now);
     CPPUNIT_ASSERT(HasCapacity(state, this->now));
   }
@@ -135,8 +137,10 @@
   void testPeersRequestsCount()
   {
     this->Put(1, false);
-    this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 3, 0, 0 } }, this->now);
-    this->upstreams.OnPeerReports({ "h2" }, { { { "u" }, 1, 0, 0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 3, 0, 0 } },
+                                  this->now);
+    this->upstreams.OnPeerReports({ "h2" }, { { { "u" }, 1, 0, 0 } },
+                                  this->now);
     CPPUNIT_ASSERT_EQUAL(4, this->upstreams.Find({ "u" })->Outstanding());
     CPPUNIT_ASSERT(!HasCapacity(*this->upstreams.Find({ "u" }), this->now));
     this->upstreams.OnPeerReports({ "h1" }, {}, this->now);
@@ -150,9 +154,11 @@
   void testPeersTeachServiceTimes()
   {
     this->Put(1, false);
-    this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 0, 5, 100.0 } }, this->now);
+    this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 0, 5, 100.0 } },
+                                  this->now);
     for (int i = 0; i < 4; ++i) {
-      this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 0, 5, 500.0 } }, this->now);
+      this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 0, 5, 500.0 } },
+                                    this->now);
     }
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" })->serviceMs > 400);
     CPPUNIT_ASSERT(this->upstreams.TakeReports().empty());
@@ -210,8 +216,8 @@
   void Serve(const std::string& aId, milliseconds aTook)
   {
     this->upstreams.OnSent({ aId }, this->now);
-    this->upstreams.OnAttemptEnded({ aId }, this->now, 0, AttemptResult::kServed, {},
-                             this->now + aTook);
+    this->upstreams.OnAttemptEnded(
+      { aId }, this->now, 0, AttemptResult::kServed, {}, this->now + aTook);
   }
 
   void ServeOthers()
@@ -226,10 +232,11 @@
   {
     PlacementContext question;
     question.now = this->now;
-    question.typicalMs = this->upstreams.TypicalServiceMs({ "stoc" }, this->now);
+    question.typicalMs =
+      this->upstreams.TypicalServiceMs({ "stoc" }, this->now);
     const UpstreamState* one =
       ChooseUpstream(this->upstreams.ForService({ "stoc" }).inCell, question,
-            [](std::size_t) { return std::size_t{ 0 }; });
+                     [](std::size_t) { return std::size_t{ 0 }; });
     return one == nullptr ? std::string() : one->entry.id.value;
   }
 
@@ -249,7 +256,8 @@
   void Fail(AttemptResult aClass)
   {
     this->upstreams.OnSent({ "u" }, this->now);
-    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, aClass, {}, this->now);
+    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, aClass, {},
+                                   this->now);
   }
 
   Upstreams upstreams;
--- a/src/routing/upstreams.h
+++ b/src/routing/upstreams.h
@@ -137,7 +137,7 @@
 // a slow spell give way to the usual ones the longer nothing was heard since:
 // an upstream that gets no request could not show that the spell is over.
 double EstimatedServiceMs(const UpstreamState& aUpstream, double aUsualMs,
-                    TimePoint aNow);
+                          TimePoint aNow);
 
 // The upstreams of one service, by data centre and then in an order of no
 // meaning, so that every host lays them out alike.
@@ -168,7 +168,7 @@
   // upstreams are back within two seconds of its return; aGrace is how long
   // this one may still be used, 0 where the store was well.
   void RemoveEntry(const state::UpstreamId& aId, TimePoint aNow,
-              std::chrono::milliseconds aGrace);
+                   std::chrono::milliseconds aGrace);
   // Drops what was in grace and is over.
   void RemoveExpired(TimePoint aNow);
 
@@ -198,15 +198,16 @@
   // that is out.
   bool IsUsable(const UpstreamState& aUpstream) const
   {
-    return !aUpstream.entry.leaving && !this->IsOutOfService(aUpstream.entry.dataCentre);
+    return !aUpstream.entry.leaving &&
+           !this->IsOutOfService(aUpstream.entry.dataCentre);
   }
 
   void OnSent(const state::UpstreamId& aId, TimePoint aNow);
   // aSent is the time given to OnSent; aWaited how many requests stood before
   // it, those running included.
-  void OnAttemptEnded(const state::UpstreamId& aId, TimePoint aSent, int aBefore,
-                AttemptResult aClass, const std::optional<UpstreamLoad>& aLoad,
-                TimePoint aNow);
+  void OnAttemptEnded(const state::UpstreamId& aId, TimePoint aSent,
+                      int aBefore, AttemptResult aClass,
+                      const std::optional<UpstreamLoad>& aLoad, TimePoint aNow);
   // Another upstream answers at its address.
   void OnReplaced(const state::UpstreamId& aId, const std::string& aAddress,
                   TimePoint aNow);
@@ -214,7 +215,8 @@
   // A peer's digest; what it has running takes the place of what it told
   // before.
   void OnPeerReports(const state::HostId& aPeer,
-              const std::vector<UpstreamReport>& aReports, TimePoint aNow);
+                     const std::vector<UpstreamReport>& aReports,
+                     TimePoint aNow);
   void ForgetPeer(const state::HostId& aPeer);
   // How many requests of this host wait for each owner of keys now.
   void SetWaiting(const std::map<state::UpstreamId, int>& aWaiting);
--- a/src/routing/waiting.h
+++ b/src/routing/waiting.h
@@ -47,11 +47,12 @@
 };
 
 // Whether the request can still be answered within its target if it starts now.
-bool CanMeetTarget(const WaitingRequest& aRequest, TimePoint aNow, double aUsualMs);
+bool CanMeetTarget(const WaitingRequest& aRequest, TimePoint aNow,
+                   double aUsualMs);
 
 // Whether an answer can still reach the caller if it starts now.
 bool CanMeetDeadline(const WaitingRequest& aRequest, TimePoint aNow,
-                double aUsualMs);
+                     double aUsualMs);
 
 // Whether it should go on waiting: beyond that its answer would mostly be late,
 // and its caller is better off with a refusal in time.
@@ -60,7 +61,7 @@
 
 // Whether aOne goes before aOther.
 bool IsServedBefore(const WaitingRequest& aOne, const WaitingRequest& aOther,
-                TimePoint aNow, double aUsualMs);
+                    TimePoint aNow, double aUsualMs);
 
 // Whether a new request should wait at all.
 bool IsWorthQueueing(const WaitingRequest& aRequest,
