--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -266,7 +266,7 @@
 bool Gateway::Impl::AreUpstreamsSettled() const
 {
   return std::ranges::none_of(this->upstreams.All(), [](const auto& aItem) {
-    return aItem.second.goneAt.has_value();
+    return aItem.second.removeAt.has_value();
   });
 }
 
