--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -76,7 +76,7 @@
   , storeThread(kRing)
   , peers(this->self, BootTime,
           [this](const state::HostId& aHost) {
-            return this->neighbours.IsMate(aHost);
+            return this->neighbours.IsCellMember(aHost);
           })
   , neighbours({ aSettings.host, aSettings.dataCentre, aSettings.processors },
                { BootTime,
@@ -298,7 +298,7 @@
     this->SendOrder(aOrder, std::move(aDone));
   };
   hooks.preference = [this](const state::HostId& aHost) {
-    return this->neighbours.Preference(aHost);
+    return this->neighbours.DutyPreference(aHost);
   };
   hooks.meet = [this](const state::HostRef& aClaimant) {
     this->claimant = aClaimant.host;
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -11,7 +11,7 @@
 #include "framework/metrics.h"
 #include "node/gateway.h"
 #include "node/internal/keysduty.h"
-#include "node/internal/neighbours.h"
+#include "node/internal/peertopology.h"
 #include "node/internal/peerduty.h"
 #include "node/internal/registration.h"
 #include "node/internal/storeduty.h"
@@ -116,7 +116,7 @@
   // Serving thread.
   routing::Upstreams upstreams;
   Peers peers;
-  Neighbours neighbours;
+  PeerTopology neighbours;
   std::unique_ptr<Keys> keys;
   std::unique_ptr<routing::Dispatcher> dispatcher;
   std::shared_ptr<const routing::RouteTable> routes;
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -147,11 +147,11 @@
     assigners.insert(this->claimant);
   }
   this->neighbours.SetAssigners(std::move(assigners));
-  const Neighbours::Dials dials = this->neighbours.TakeDials();
-  for (const auto& [host, address] : dials.begin) {
+  const PeerTopology::ConnectionChanges dials = this->neighbours.TakeConnectionChanges();
+  for (const auto& [host, address] : dials.toOpen) {
     this->network->SetAddress(host.value, address);
   }
-  for (const state::HostId& host : dials.end) {
+  for (const state::HostId& host : dials.toClose) {
     this->network->StopDialling(host.value);
   }
 }
@@ -225,7 +225,7 @@
   }
   const std::vector<state::HostId> live = this->LiveMates();
   const bool divided = this->neighbours.Cells().IsDivided();
-  this->dispatcher->SetHosts(live, divided ? this->neighbours.All() : live,
+  this->dispatcher->SetHosts(live, divided ? this->neighbours.AllHosts() : live,
                              this->tables->Find(kHostTable).version > 0);
   this->registration->OnTimer();
   this->ChooseTables(live);
@@ -285,19 +285,19 @@
 
 void Gateway::Impl::SendDigests()
 {
-  const Neighbours::Due due = this->neighbours.TakeDue(
+  const PeerTopology::DigestRecipients due = this->neighbours.TakeDigestRecipients(
     this->reachable, this->dispatcher->LoadChangeCount());
   this->keys->OnUses(this->keys->TakeUses(this->self.host));
-  if (due.mates.empty() && due.others.empty()) {
+  if (due.full.empty() && due.brief.empty()) {
     return;
   }
   protocol::HostDigest digest = this->MakeDigest();
-  this->SendDigest(due.others, digest);
-  if (!due.mates.empty()) {
+  this->SendDigest(due.brief, digest);
+  if (!due.full.empty()) {
     this->upstreams.SetWaiting(this->dispatcher->WaitingByOwner());
     const auto reports = this->upstreams.TakeReports();
     std::ranges::transform(reports, std::back_inserter(digest.uses), UseOf);
-    this->SendDigest(due.mates, digest);
+    this->SendDigest(due.full, digest);
   }
 }
 
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -50,7 +50,7 @@
     this->OnCaughtUp(aTable, aBehind);
   };
   hooks.tellVersions = [this] {
-    this->neighbours.Hurry();
+    this->neighbours.RequestImmediateDigest();
     this->SendDigests();
   };
   return hooks;
--- a/src/node/internal/neighbours.cpp
+++ b/src/node/internal/peertopology.cpp
@@ -1,6 +1,6 @@
 // Dials and times of digests.
 
-#include "node/internal/neighbours.h"
+#include "node/internal/peertopology.h"
 
 #include "framework/rendezvous.h"
 
@@ -49,7 +49,7 @@
 
 } // namespace
 
-Neighbours::Neighbours(routing::CellHost aSelf, Hooks aHooks)
+PeerTopology::PeerTopology(routing::CellHost aSelf, Hooks aHooks)
   : self(std::move(aSelf))
   , hooks(std::move(aHooks))
   , cells(this->self.id)
@@ -57,7 +57,7 @@
   this->cells.SetHosts({ this->self });
 }
 
-void Neighbours::SetHosts(std::vector<HostAddress> aHosts)
+void PeerTopology::SetHosts(std::vector<HostAddress> aHosts)
 {
   this->hosts.clear();
   for (HostAddress& one : aHosts) {
@@ -72,22 +72,22 @@
   this->cells.SetHosts(std::move(all));
 }
 
-void Neighbours::SetAssigners(std::set<state::HostId> aAssigners)
+void PeerTopology::SetAssigners(std::set<state::HostId> aAssigners)
 {
   this->assigners = std::move(aAssigners);
 }
 
-bool Neighbours::IsKnown(const state::HostId& aHost) const
+bool PeerTopology::IsKnown(const state::HostId& aHost) const
 {
   return aHost == this->self.id || this->hosts.contains(aHost);
 }
 
-bool Neighbours::IsMate(const state::HostId& aHost) const
+bool PeerTopology::IsCellMember(const state::HostId& aHost) const
 {
   return !this->cells.IsDivided() || this->cells.Members().contains(aHost);
 }
 
-std::vector<state::HostId> Neighbours::All() const
+std::vector<state::HostId> PeerTopology::AllHosts() const
 {
   std::vector<state::HostId> all{ this->self.id };
   std::ranges::transform(this->hosts, std::back_inserter(all),
@@ -95,7 +95,7 @@
   return all;
 }
 
-double Neighbours::Preference(const state::HostId& aHost) const
+double PeerTopology::DutyPreference(const state::HostId& aHost) const
 {
   const auto found = this->hosts.find(aHost);
   const double processors = aHost == this->self.id ? this->self.processors
@@ -107,24 +107,24 @@
 
 // Of a host that is dialled; one that was never heard is given its time to
 // answer.
-Duration Neighbours::SilenceOf(const state::HostId& aHost) const
+Duration PeerTopology::SilenceOf(const state::HostId& aHost) const
 {
   const auto found = this->dialled.find(aHost);
   const TimePoint since =
     found == this->dialled.end()
-      ? this->hooks.heardAt(aHost)
-      : std::max(found->second, this->hooks.heardAt(aHost));
+      ? this->hooks.lastHeardAt(aHost)
+      : std::max(found->second, this->hooks.lastHeardAt(aHost));
   return this->hooks.now() - since;
 }
 
-bool Neighbours::IsGone(const state::HostId& aHost) const
+bool PeerTopology::IsGone(const state::HostId& aHost) const
 {
   // One that was never dialled may well be there.
   return aHost != this->self.id && this->dialled.contains(aHost) &&
          this->SilenceOf(aHost) > kHubGone;
 }
 
-std::set<state::HostId> Neighbours::Wanted() const
+std::set<state::HostId> PeerTopology::Wanted() const
 {
   std::set<state::HostId> wanted;
   if (!this->cells.IsDivided()) {
@@ -142,30 +142,30 @@
   return wanted;
 }
 
-Neighbours::Dials Neighbours::TakeDials()
+PeerTopology::ConnectionChanges PeerTopology::TakeConnectionChanges()
 {
   this->hubs = this->cells.Hubs(
     [this](const state::HostId& aHost) { return this->IsGone(aHost); });
   const std::set<state::HostId> wanted = this->Wanted();
-  Dials dials;
+  ConnectionChanges dials;
   for (const state::HostId& id : wanted) {
     const auto known = this->hosts.find(id);
     if (known != this->hosts.end()) {
-      dials.begin[id] = known->second.address;
+      dials.toOpen[id] = known->second.address;
       this->dialled.try_emplace(id, this->hooks.now());
     }
   }
   std::erase_if(this->dialled, [&](const auto& aItem) {
     const bool over = !wanted.contains(aItem.first);
     if (over) {
-      dials.end.push_back(aItem.first);
+      dials.toClose.push_back(aItem.first);
     }
     return over;
   });
   return dials;
 }
 
-bool Neighbours::IsReader(
+bool PeerTopology::ShouldFollowTables(
   const std::vector<state::HostId>& aLiveMates,
   const std::function<bool(const state::HostId&)>& aReachesStore) const
 {
@@ -190,11 +190,11 @@
   return reading < kReaders && before < kMostTrying;
 }
 
-bool Neighbours::IsAnyHubReading(
+bool PeerTopology::IsAnyHubReading(
   const std::function<bool(const state::HostId&)>& aReachesStore) const
 {
   return std::ranges::any_of(this->hubs, [&](const state::HostId& aHub) {
-    const bool isUnheard = this->hooks.heardAt(aHub) == TimePoint{};
+    const bool isUnheard = this->hooks.lastHeardAt(aHub) == TimePoint{};
     return this->SilenceOf(aHub) < kHubSilent &&
            (isUnheard || aReachesStore(aHub));
   });
@@ -202,7 +202,7 @@
 
 // The hub of its data centre, as bytes between those are paid for; where it has
 // none, one of all.
-state::HostId Neighbours::HomeOf(const state::HostId& aHost) const
+state::HostId PeerTopology::HomeOf(const state::HostId& aHost) const
 {
   const auto centreOf = [this](const state::HostId& aOne) {
     const auto found = this->hosts.find(aOne);
@@ -220,7 +220,7 @@
   });
 }
 
-bool Neighbours::PassesNewsTo(const state::HostId& aHost) const
+bool PeerTopology::ForwardsChangesTo(const state::HostId& aHost) const
 {
   if (!this->cells.IsDivided()) {
     return false;
@@ -228,10 +228,10 @@
   if (this->hubs.contains(this->self.id)) {
     return this->hubs.contains(aHost) || this->HomeOf(aHost) == this->self.id;
   }
-  return this->IsMate(aHost);
+  return this->IsCellMember(aHost);
 }
 
-bool Neighbours::IsMatesDue(std::int64_t aChanges) const
+bool PeerTopology::IsMatesDue(std::int64_t aChanges) const
 {
   const bool divided = this->cells.IsDivided();
   const Duration since = this->hooks.now() - this->matesToldAt;
@@ -240,10 +240,10 @@
          since >= (divided ? kLongestInCell : kLongestPause);
 }
 
-Neighbours::Due Neighbours::TakeDue(const std::set<std::string>& aReachable,
+PeerTopology::DigestRecipients PeerTopology::TakeDigestRecipients(const std::set<std::string>& aReachable,
                                     std::int64_t aChanges)
 {
-  Due due;
+  DigestRecipients due;
   const TimePoint now = this->hooks.now();
   const bool isHurried = std::exchange(this->hurries, false);
   const bool matesDue = isHurried || this->IsMatesDue(aChanges);
@@ -261,13 +261,13 @@
   const bool tellsAll = assigns || this->hubs.contains(this->self.id);
   for (const std::string& host : aReachable) {
     const state::HostId id{ host };
-    const bool isMate = this->IsMate(id);
+    const bool isMate = this->IsCellMember(id);
     if (isMate && matesDue) {
-      due.mates.push_back(host);
+      due.full.push_back(host);
     }
     if (!isMate && othersDue &&
         (tellsAll || this->hubs.contains(id) || this->assigners.contains(id))) {
-      due.others.push_back(host);
+      due.brief.push_back(host);
     }
   }
   return due;
--- a/src/node/internal/neighbours.h
+++ b/src/node/internal/peertopology.h
@@ -27,17 +27,17 @@
   std::string address;
 };
 
-class Neighbours
+class PeerTopology
 {
 public:
   struct Hooks
   {
     Clock now;
     // When the host's last digest came; the epoch where none did.
-    std::function<TimePoint(const state::HostId&)> heardAt;
+    std::function<TimePoint(const state::HostId&)> lastHeardAt;
   };
 
-  Neighbours(routing::CellHost aSelf, Hooks aHooks);
+  PeerTopology(routing::CellHost aSelf, Hooks aHooks);
 
   // The hosts' table; this host need not be in it.
   void SetHosts(std::vector<HostAddress> aHosts);
@@ -52,44 +52,44 @@
   }
   bool IsKnown(const state::HostId& aHost) const;
   // Of this host's cell; all are while there are no cells.
-  bool IsMate(const state::HostId& aHost) const;
-  std::vector<state::HostId> All() const;
+  bool IsCellMember(const state::HostId& aHost) const;
+  std::vector<state::HostId> AllHosts() const;
   // Which host should be asked first for a duty; the higher one.
-  double Preference(const state::HostId& aHost) const;
+  double DutyPreference(const state::HostId& aHost) const;
 
-  struct Dials
+  struct ConnectionChanges
   {
-    std::map<state::HostId, std::string> begin;
-    std::vector<state::HostId> end;
+    std::map<state::HostId, std::string> toOpen;
+    std::vector<state::HostId> toClose;
   };
 
   // What changed since the last call in whom to connect to.
-  Dials TakeDials();
+  ConnectionChanges TakeConnectionChanges();
 
-  struct Due
+  struct DigestRecipients
   {
     // They are told everything.
-    std::vector<std::string> mates;
+    std::vector<std::string> full;
     // They are told little.
-    std::vector<std::string> others;
+    std::vector<std::string> brief;
   };
 
   // Whether this host should follow the store's tables itself. aReachesStore
   // says it of a hub, or of a mate that is live.
-  bool IsReader(
+  bool ShouldFollowTables(
     const std::vector<state::HostId>& aLiveMates,
     const std::function<bool(const state::HostId&)>& aReachesStore) const;
 
   // Whether this host, which follows the store, tells the other one of its
   // news. The hubs share the hosts among them and tell each other; one that
   // follows as no hub does tells its mates.
-  bool PassesNewsTo(const state::HostId& aHost) const;
+  bool ForwardsChangesTo(const state::HostId& aHost) const;
 
   // The next digest goes to everyone whatever has changed.
-  void Hurry() { this->hurries = true; }
+  void RequestImmediateDigest() { this->hurries = true; }
   // Whom a digest goes to now. aChanges are sends and ends at upstreams since
   // the start.
-  Due TakeDue(const std::set<std::string>& aReachable, std::int64_t aChanges);
+  DigestRecipients TakeDigestRecipients(const std::set<std::string>& aReachable, std::int64_t aChanges);
 
 private:
   bool IsGone(const state::HostId& aHost) const;
--- a/src/node/internal/tablespread.cpp
+++ b/src/node/internal/tablespread.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TableSpread::TableSpread(Neighbours& aNeighbours, const Peers& aPeers,
+TableSpread::TableSpread(PeerTopology& aNeighbours, const Peers& aPeers,
                          const std::set<std::string>& aReachable,
                          bool aIsFirstStart, Hooks aHooks)
   : neighbours(aNeighbours)
@@ -186,7 +186,7 @@
   std::vector<std::string> told;
   std::ranges::copy_if(this->reachable, std::back_inserter(told),
                        [this](const std::string& aHost) {
-                         return this->neighbours.PassesNewsTo({ aHost });
+                         return this->neighbours.ForwardsChangesTo({ aHost });
                        });
   protocol::Frame frame;
   protocol::TableChange change;
@@ -258,7 +258,7 @@
   // in an order of its own, or all would ask the one that knows most.
   const std::string& self = this->neighbours.Self().value;
   std::ranges::sort(ahead, std::greater{}, [&](const state::HostId& aHost) {
-    return std::make_pair(this->neighbours.IsMate(aHost),
+    return std::make_pair(this->neighbours.IsCellMember(aHost),
                           RendezvousScore(self, aHost.value));
   });
   return ahead;
@@ -316,7 +316,7 @@
 {
   const bool isReader =
     this->standing == Standing::kKnown &&
-    this->neighbours.IsReader(aLiveMates, [this](const state::HostId& aHost) {
+    this->neighbours.ShouldFollowTables(aLiveMates, [this](const state::HostId& aHost) {
       return this->ReachesStore(aHost);
     });
   std::set<std::string> wanted;
--- a/src/node/internal/tablespread.h
+++ b/src/node/internal/tablespread.h
@@ -15,7 +15,7 @@
 
 #include "framework/clock.h"
 #include "node/internal/catchup.h"
-#include "node/internal/neighbours.h"
+#include "node/internal/peertopology.h"
 #include "node/internal/peerduty.h"
 #include "node/internal/tables.h"
 #include "protocol/gen/peer_types.h"
@@ -76,7 +76,7 @@
 
   // All outlive this.
   // aIsFirstStart: of all hosts; see Registration.
-  TableSpread(Neighbours& aNeighbours, const Peers& aPeers,
+  TableSpread(PeerTopology& aNeighbours, const Peers& aPeers,
               const std::set<std::string>& aReachable, bool aIsFirstStart,
               Hooks aHooks);
 
@@ -117,7 +117,7 @@
   void CatchUpWith(const std::string& aTable);
   void AskPeer(const state::HostId& aPeer, const std::string& aTable);
 
-  Neighbours& neighbours;
+  PeerTopology& neighbours;
   const Peers& peers;
   // Peers with a connection.
   const std::set<std::string>& reachable;
--- a/src/node/tests/neighbours_test.cpp
+++ b/src/node/tests/peertopology_test.cpp
@@ -1,7 +1,7 @@
 // Whom a host of a large deployment connects to, tells about itself, and leaves
 // the store to.
 
-#include "node/internal/neighbours.h"
+#include "node/internal/peertopology.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -36,50 +36,50 @@
 
   void testFewHostsTellEachOtherEverything()
   {
-    Neighbours neighbours = this->Make(0, 12);
+    PeerTopology neighbours = this->Make(0, 12);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 11 },
-                         neighbours.TakeDials().begin.size());
-    const auto due = neighbours.TakeDue(Names(12), 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 12 }, due.mates.size());
-    CPPUNIT_ASSERT(due.others.empty());
+                         neighbours.TakeConnectionChanges().toOpen.size());
+    const auto due = neighbours.TakeDigestRecipients(Names(12), 0);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 12 }, due.full.size());
+    CPPUNIT_ASSERT(due.brief.empty());
     // Nothing has changed since, and the pause is not over.
     this->now += milliseconds(100);
-    CPPUNIT_ASSERT(neighbours.TakeDue(Names(12), 1).mates.empty());
-    CPPUNIT_ASSERT(!neighbours.TakeDue(Names(12), 2).mates.empty());
+    CPPUNIT_ASSERT(neighbours.TakeDigestRecipients(Names(12), 1).full.empty());
+    CPPUNIT_ASSERT(!neighbours.TakeDigestRecipients(Names(12), 2).full.empty());
   }
 
   void testManyHostsTellTheirCellAndTheHubs()
   {
-    Neighbours neighbours = this->Make(0, 60);
+    PeerTopology neighbours = this->Make(0, 60);
     neighbours.SetAssigners({ { "host-30" } });
-    const auto dials = neighbours.TakeDials();
-    CPPUNIT_ASSERT(dials.begin.size() < 20);
-    CPPUNIT_ASSERT(dials.begin.contains({ "host-30" }));
-    const auto due = neighbours.TakeDue(Names(60), 0);
-    CPPUNIT_ASSERT(due.mates.size() < 15);
-    CPPUNIT_ASSERT(!due.others.empty() && due.others.size() <= 4);
-    for (const std::string& mate : due.mates) {
-      CPPUNIT_ASSERT(neighbours.IsMate({ mate }));
+    const auto dials = neighbours.TakeConnectionChanges();
+    CPPUNIT_ASSERT(dials.toOpen.size() < 20);
+    CPPUNIT_ASSERT(dials.toOpen.contains({ "host-30" }));
+    const auto due = neighbours.TakeDigestRecipients(Names(60), 0);
+    CPPUNIT_ASSERT(due.full.size() < 15);
+    CPPUNIT_ASSERT(!due.brief.empty() && due.brief.size() <= 4);
+    for (const std::string& mate : due.full) {
+      CPPUNIT_ASSERT(neighbours.IsCellMember({ mate }));
     }
   }
 
   void testHubTellsEveryone()
   {
-    Neighbours neighbours = this->Make(0, 60, 5);
-    neighbours.TakeDials();
-    const auto due = neighbours.TakeDue(Names(60), 0);
+    PeerTopology neighbours = this->Make(0, 60, 5);
+    neighbours.TakeConnectionChanges();
+    const auto due = neighbours.TakeDigestRecipients(Names(60), 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 60 },
-                         due.mates.size() + due.others.size());
-    CPPUNIT_ASSERT(neighbours.Preference({ "host-0" }) >
-                   neighbours.Preference({ "host-1" }));
+                         due.full.size() + due.brief.size());
+    CPPUNIT_ASSERT(neighbours.DutyPreference({ "host-0" }) >
+                   neighbours.DutyPreference({ "host-1" }));
   }
 
   // A hub's host loses power. Until it is heard again another one of its data
   // centre hears everyone, and the first is dialled on.
   void testLostHubHasAStandIn()
   {
-    Neighbours neighbours = this->Make(0, 60);
-    neighbours.TakeDials();
+    PeerTopology neighbours = this->Make(0, 60);
+    neighbours.TakeConnectionChanges();
     const std::set<std::string> before = this->HubsOf(neighbours);
     const std::string lost = *before.begin();
     this->now += milliseconds(2500);
@@ -88,13 +88,13 @@
         this->heard[{ name }] = this->now;
       }
     }
-    const auto dials = neighbours.TakeDials();
-    CPPUNIT_ASSERT(dials.begin.contains({ lost }));
+    const auto dials = neighbours.TakeConnectionChanges();
+    CPPUNIT_ASSERT(dials.toOpen.contains({ lost }));
     const std::set<std::string> after = this->HubsOf(neighbours);
     CPPUNIT_ASSERT(!after.contains(lost));
     CPPUNIT_ASSERT_EQUAL(before.size(), after.size());
     this->heard[{ lost }] = this->now;
-    neighbours.TakeDials();
+    neighbours.TakeConnectionChanges();
     CPPUNIT_ASSERT(this->HubsOf(neighbours) == before);
   }
 
@@ -105,15 +105,15 @@
     std::set<state::HostId> turnedAway;
     const auto readers = [&] {
       std::set<state::HostId> reading;
-      const Neighbours first = this->Make(0, 60);
+      const PeerTopology first = this->Make(0, 60);
       for (const state::HostId& mate : first.Cells().Members()) {
         const int number = std::stoi(mate.value.substr(5));
-        Neighbours neighbours = this->Make(number, 60);
-        neighbours.TakeDials();
+        PeerTopology neighbours = this->Make(number, 60);
+        neighbours.TakeConnectionChanges();
         this->now += milliseconds(1500);
         const std::set<state::HostId>& mates = first.Cells().Members();
-        const bool isHub = neighbours.Preference(mate) > 1;
-        if (!isHub && neighbours.IsReader({ mates.begin(), mates.end() },
+        const bool isHub = neighbours.DutyPreference(mate) > 1;
+        if (!isHub && neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
                                           [&](const state::HostId& aHost) {
                                             return !turnedAway.contains(aHost);
                                           })) {
@@ -137,11 +137,11 @@
     const auto readers = [&] {
       int count = 0;
       for (int i = 0; i < 60; ++i) {
-        Neighbours neighbours = this->Make(i, 60);
-        neighbours.TakeDials();
+        PeerTopology neighbours = this->Make(i, 60);
+        neighbours.TakeConnectionChanges();
         this->HearAll();
         const std::set<state::HostId>& mates = neighbours.Cells().Members();
-        count += neighbours.IsReader({ mates.begin(), mates.end() },
+        count += neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
                                      [&](const state::HostId& aHost) {
                                        return !turnedAway.contains(aHost);
                                      })
@@ -151,8 +151,8 @@
       return count;
     };
     CPPUNIT_ASSERT_EQUAL(3, readers());
-    Neighbours any = this->Make(0, 60);
-    any.TakeDials();
+    PeerTopology any = this->Make(0, 60);
+    any.TakeConnectionChanges();
     for (const std::string& hub : HubsOf(any)) {
       CPPUNIT_ASSERT_EQUAL(3, readers());
       turnedAway.insert({ hub });
@@ -165,16 +165,16 @@
   // one; the hubs tell each other.
   void testHubsShareTheHostsThatTheyTell()
   {
-    Neighbours any = this->Make(0, 60);
-    any.TakeDials();
+    PeerTopology any = this->Make(0, 60);
+    any.TakeConnectionChanges();
     const std::set<std::string> hubs = HubsOf(any);
     std::map<std::string, int> told;
     for (const std::string& hub : hubs) {
       const int number = std::stoi(hub.substr(5));
-      Neighbours neighbours = this->Make(number, 60);
-      neighbours.TakeDials();
+      PeerTopology neighbours = this->Make(number, 60);
+      neighbours.TakeConnectionChanges();
       for (const std::string& name : Names(60)) {
-        told[name] += name != hub && neighbours.PassesNewsTo({ name }) ? 1 : 0;
+        told[name] += name != hub && neighbours.ForwardsChangesTo({ name }) ? 1 : 0;
       }
     }
     for (const auto& [name, times] : told) {
@@ -207,9 +207,9 @@
   }
 
   // Host aSelf of aCount, with so many processors where the others have one.
-  Neighbours Make(int aSelf, int aCount, double aProcessors = 1)
+  PeerTopology Make(int aSelf, int aCount, double aProcessors = 1)
   {
-    Neighbours neighbours(
+    PeerTopology neighbours(
       HostOf(aSelf, aProcessors),
       { [this] { return this->now; },
         [this](const state::HostId& aHost) { return this->heard[aHost]; } });
@@ -223,11 +223,11 @@
   }
 
   // As the host sees them: they go before all others.
-  static std::set<std::string> HubsOf(const Neighbours& aNeighbours)
+  static std::set<std::string> HubsOf(const PeerTopology& aNeighbours)
   {
     std::set<std::string> hubs;
     for (const std::string& name : Names(60)) {
-      if (aNeighbours.Preference({ name }) > 100) {
+      if (aNeighbours.DutyPreference({ name }) > 100) {
         hubs.insert(name);
       }
     }
--- a/src/node/tests/spreadworld.h
+++ b/src/node/tests/spreadworld.h
@@ -147,7 +147,7 @@
                 static_cast<state::Incarnation>(aWorld.hosts[aSelf]->run) },
               aWorld.WorldClock(),
               [this](const state::HostId& aHost) {
-                return this->neighbours.IsMate(aHost);
+                return this->neighbours.IsCellMember(aHost);
               })
       , neighbours({ aRow.host, aRow.dataCentre, aRow.processors },
                    { aWorld.WorldClock(),
@@ -161,7 +161,7 @@
     }
 
     Peers peers;
-    Neighbours neighbours;
+    PeerTopology neighbours;
     TableSpread tables;
     Registration registration;
     bool reachesStore = true;
@@ -276,7 +276,7 @@
   {
     Host& host = *this->hosts[aHost];
     host.dialledAt = this->now;
-    for (const auto& [id, address] : host.parts->neighbours.TakeDials().begin) {
+    for (const auto& [id, address] : host.parts->neighbours.TakeConnectionChanges().toOpen) {
       this->After(kTrip, [this, aHost, to = this->IndexOf(id.value)] {
         Host& one = *this->hosts[aHost];
         Host& other = *this->hosts[to];
@@ -296,9 +296,9 @@
   {
     Host& host = *this->hosts[aHost];
     Parts& parts = *host.parts;
-    const Neighbours::Due due = parts.neighbours.TakeDue(host.reachable, 0);
-    std::vector<std::string> told = due.mates;
-    told.insert(told.end(), due.others.begin(), due.others.end());
+    const PeerTopology::DigestRecipients due = parts.neighbours.TakeDigestRecipients(host.reachable, 0);
+    std::vector<std::string> told = due.full;
+    told.insert(told.end(), due.brief.begin(), due.brief.end());
     if (told.empty()) {
       return;
     }
@@ -377,7 +377,7 @@
     hooks.isSettled = [](const std::string&) { return true; };
     hooks.caughtUp = [](const std::string&, Duration) {};
     hooks.tellVersions = [this, aHost] {
-      this->hosts[aHost]->parts->neighbours.Hurry();
+      this->hosts[aHost]->parts->neighbours.RequestImmediateDigest();
       this->SendDigests(aHost);
     };
     return hooks;
