--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -131,7 +131,7 @@
                               std::string(platform::kUpstreamTable),
                               kHostTable },
     StoreDuty::Hooks{
-      [this](TableNews aNews) {
+      [this](TableUpdate aNews) {
         this->serving.Hand(
           [this, news = std::move(aNews)] { this->tables->OnNews(news); });
       },
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -65,7 +65,7 @@
   } else if (aTable == platform::kUpstreamTable) {
     this->ApplyUpstreamRows(aChanged, aGrace);
   } else {
-    const TableCopy& copy = this->tables->Find(kHostTable);
+    const TableReplica& copy = this->tables->Find(kHostTable);
     std::vector<state::StoredRow> rows;
     std::ranges::transform(copy.rows, std::back_inserter(rows),
                            [](const auto& aItem) { return aItem.second; });
@@ -101,7 +101,7 @@
 
 void Gateway::Impl::ApplyOperatorRows()
 {
-  const TableCopy& copy =
+  const TableReplica& copy =
     this->tables->Find(std::string(platform::kOperatorTable));
   std::set<state::DataCentre> out;
   for (const auto& [key, row] : copy.rows) {
--- a/src/node/internal/registration.cpp
+++ b/src/node/internal/registration.cpp
@@ -3,7 +3,7 @@
 #include "node/internal/registration.h"
 
 #include "framework/rendezvous.h"
-#include "node/internal/tables.h"
+#include "node/internal/tablereplicas.h"
 #include "protocol/errorkind.h"
 
 #include <fmt/format.h>
@@ -165,7 +165,7 @@
   this->hooks.found(aRead);
 }
 
-void Registration::OnTable(const TableCopy& aCopy)
+void Registration::OnTable(const TableReplica& aCopy)
 {
   if (this->isEntered || this->isAsking || this->step != Step::kWrite) {
     return;
--- a/src/node/internal/registration.h
+++ b/src/node/internal/registration.h
@@ -20,7 +20,7 @@
 
 namespace kumquat::node {
 
-struct TableCopy;
+struct TableReplica;
 
 // A host as its row tells of it.
 struct HostRow
@@ -56,7 +56,7 @@
 
   void OnTimer();
   // A whole copy of the table, from the store or from a peer.
-  void OnTable(const TableCopy& aCopy);
+  void OnTable(const TableReplica& aCopy);
 
   // The store has told who is there, once; its last answer about it failed.
   bool HasLooked() const { return this->hasLooked; }
--- a/src/node/internal/storeduty.h
+++ b/src/node/internal/storeduty.h
@@ -5,7 +5,7 @@
 
 #include "framework/clock.h"
 #include "framework/result.h"
-#include "node/internal/tables.h"
+#include "node/internal/tablereplicas.h"
 #include "state/rowstore.h"
 #include "transport/dutythread.h"
 #include "transport/httpclient.h"
@@ -37,7 +37,7 @@
   struct Hooks
   {
     // All on the store's thread.
-    std::function<void(TableNews)> news;
+    std::function<void(TableUpdate)> news;
     // The store answers, or does not.
     std::function<void(bool)> well;
     // A whole read of a table ended.
--- a/src/node/internal/tables.cpp
+++ b/src/node/internal/tablereplicas.cpp
@@ -1,6 +1,6 @@
 // Merging of news into copies of tables.
 
-#include "node/internal/tables.h"
+#include "node/internal/tablereplicas.h"
 
 #include <algorithm>
 #include <iterator>
@@ -33,13 +33,13 @@
   return { aTable, {}, aRow.key, aRow.value, aRow.version, aRow.removed };
 }
 
-std::vector<state::StoredRow> TableCopies::Apply(
+std::vector<state::StoredRow> TableReplicas::Apply(
   const std::string& aTable, const std::vector<state::StoredRow>& aRows,
   bool aWhole, state::Version aVersion)
 {
-  TableCopy& copy = this->copies[aTable];
+  TableReplica& copy = this->copies[aTable];
   if (copy.version == 0) {
-    copy.forgotten = aVersion;
+    copy.tombstonesAfter = aVersion;
   }
   std::vector<state::StoredRow> changed;
   if (aWhole && aVersion < copy.version) {
@@ -69,54 +69,54 @@
   for (const state::StoredRow& row : changed) {
     if (row.removed) {
       copy.rows.erase(row.key);
-      copy.removed.push_back(row);
+      copy.tombstones.push_back(row);
       if (aWhole) {
-        copy.removed.back().version = aVersion;
+        copy.tombstones.back().version = aVersion;
       }
     } else {
       copy.rows[row.key] = row;
     }
     // When a row went that is only found to be missing is not known.
-    copy.changed =
-      std::max(copy.changed, aWhole && row.removed ? aVersion : row.version);
+    copy.lastChange =
+      std::max(copy.lastChange, aWhole && row.removed ? aVersion : row.version);
   }
   if (aWhole) {
     // The later pages of a read may hold rows of after its first, and what else
     // changed meanwhile is not known yet.
     copy.version = std::max(copy.version, aVersion);
-    copy.changed = std::min(copy.changed, copy.version);
+    copy.lastChange = std::min(copy.lastChange, copy.version);
   } else if (!aRows.empty()) {
     const state::Version last =
       std::ranges::max(aRows, {}, &state::StoredRow::version).version;
     copy.version = std::max(copy.version, last);
-    copy.changed = std::max(copy.changed, last);
+    copy.lastChange = std::max(copy.lastChange, last);
   }
-  while (copy.removed.size() > kMostRemoved) {
-    copy.forgotten = std::max(copy.forgotten, copy.removed.front().version);
-    copy.removed.pop_front();
+  while (copy.tombstones.size() > kMostRemoved) {
+    copy.tombstonesAfter = std::max(copy.tombstonesAfter, copy.tombstones.front().version);
+    copy.tombstones.pop_front();
   }
   return changed;
 }
 
-const TableCopy& TableCopies::Find(const std::string& aTable) const
+const TableReplica& TableReplicas::Find(const std::string& aTable) const
 {
-  static const TableCopy kNone;
+  static const TableReplica kNone;
   const auto found = this->copies.find(aTable);
   return found == this->copies.end() ? kNone : found->second;
 }
 
-std::optional<std::vector<state::StoredRow>> TableCopies::ChangesSince(
+std::optional<std::vector<state::StoredRow>> TableReplicas::ChangesSince(
   const std::string& aTable, state::Version aAfter) const
 {
-  const TableCopy& copy = this->Find(aTable);
-  if (aAfter < copy.forgotten) {
+  const TableReplica& copy = this->Find(aTable);
+  if (aAfter < copy.tombstonesAfter) {
     return std::nullopt;
   }
   const auto isLater = [&copy, aAfter](const state::StoredRow& aRow) {
     return aRow.version > aAfter && aRow.version <= copy.version;
   };
   std::vector<state::StoredRow> changes;
-  std::ranges::copy_if(copy.removed, std::back_inserter(changes), isLater);
+  std::ranges::copy_if(copy.tombstones, std::back_inserter(changes), isLater);
   std::ranges::copy_if(copy.rows | std::views::values,
                        std::back_inserter(changes), isLater);
   // A row that went and came again is here twice.
@@ -124,7 +124,7 @@
   return changes;
 }
 
-bool TableCopies::IsLarge(const std::string& aTable) const
+bool TableReplicas::IsLarge(const std::string& aTable) const
 {
   return std::ranges::any_of(this->Find(aTable).rows, [](const auto& aItem) {
     return aItem.second.value.size() > kLargeRowBytes;
--- a/src/node/internal/tables.h
+++ b/src/node/internal/tablereplicas.h
@@ -19,11 +19,11 @@
 inline constexpr const char* kHostTable = "hosts";
 
 // News of a table, from the store or from a peer.
-struct TableNews
+struct TableUpdate
 {
   std::string table;
   // All rows of the table; else what changed.
-  bool whole = false;
+  bool isFull = false;
   std::vector<state::StoredRow> rows;
   state::Version version = 0;
   // How long a row that is gone may still be taken as there: the store had
@@ -31,7 +31,7 @@
   std::chrono::milliseconds grace{ 0 };
 };
 
-struct TableCopy
+struct TableReplica
 {
   std::map<std::string, state::StoredRow> rows;
   // Nothing up to it is missing. A table that was read whole has the store's
@@ -40,10 +40,10 @@
   // Of the last change that is in it. This is what peers are told: told the
   // other one, all that had not read the table whole took themselves for
   // behind, and asked for it.
-  state::Version changed = 0;
+  state::Version lastChange = 0;
   // Rows that went, the last ones; all that went after `forgotten`.
-  std::deque<state::StoredRow> removed;
-  state::Version forgotten = 0;
+  std::deque<state::StoredRow> tombstones;
+  state::Version tombstonesAfter = 0;
 };
 
 // Rows from this size on are read from the store by each host, not passed on.
@@ -56,7 +56,7 @@
 state::StoredRow FromWire(const std::string& aTable,
                           const protocol::TableRow& aRow);
 
-class TableCopies
+class TableReplicas
 {
 public:
   // What is new in the news against the copy, removed rows included; the copy
@@ -65,7 +65,7 @@
     const std::string& aTable, const std::vector<state::StoredRow>& aRows,
     bool aWhole, state::Version aVersion);
 
-  const TableCopy& Find(const std::string& aTable) const;
+  const TableReplica& Find(const std::string& aTable) const;
   // Rows that changed or went after a version; nothing where too many went
   // since to know.
   std::optional<std::vector<state::StoredRow>> ChangesSince(
@@ -74,7 +74,7 @@
   bool IsLarge(const std::string& aTable) const;
 
 private:
-  std::map<std::string, TableCopy> copies;
+  std::map<std::string, TableReplica> copies;
 };
 
 } // namespace kumquat::node
--- a/src/node/internal/tablespread.cpp
+++ b/src/node/internal/tablespread.cpp
@@ -45,10 +45,10 @@
                          });
 }
 
-TableNews NewsOf(const std::string& aTable,
+TableUpdate NewsOf(const std::string& aTable,
                  const std::vector<protocol::TableRow>& aRows)
 {
-  TableNews news;
+  TableUpdate news;
   news.table = aTable;
   std::ranges::transform(aRows, std::back_inserter(news.rows),
                          [&aTable](const protocol::TableRow& aRow) {
@@ -86,11 +86,11 @@
 
 // --- what comes in
 
-void TableSpread::OnNews(const TableNews& aNews)
+void TableSpread::OnNews(const TableUpdate& aNews)
 {
-  const state::Version before = this->tables.Find(aNews.table).changed;
+  const state::Version before = this->tables.Find(aNews.table).lastChange;
   const std::vector<state::StoredRow> changed =
-    this->tables.Apply(aNews.table, aNews.rows, aNews.whole, aNews.version);
+    this->tables.Apply(aNews.table, aNews.rows, aNews.isFull, aNews.version);
   const auto behind =
     this->CatchUpOf(aNews.table).OnOwn(this->tables.Find(aNews.table).version);
   if (behind) {
@@ -111,8 +111,8 @@
 void TableSpread::OnCopy(const protocol::TableCopy& aCopy)
 {
   this->CatchUpOf(aCopy.table).OnPeerAnswer();
-  TableNews news = NewsOf(aCopy.table, aCopy.rows);
-  news.whole = true;
+  TableUpdate news = NewsOf(aCopy.table, aCopy.rows);
+  news.isFull = true;
   news.version = aCopy.version;
   this->OnNews(news);
 }
@@ -124,7 +124,7 @@
   if (own < aChange.after) {
     return;
   }
-  TableNews news = NewsOf(aChange.table, aChange.rows);
+  TableUpdate news = NewsOf(aChange.table, aChange.rows);
   news.version = own;
   news.grace = milliseconds(aChange.graceMs);
   this->OnNews(news);
@@ -160,7 +160,7 @@
     // What is in grace here may be gone already at a peer that copies; it
     // learns of the table only when that is settled.
     if (this->hooks.isSettled(table)) {
-      this->named[table] = this->tables.Find(table).changed;
+      this->named[table] = this->tables.Find(table).lastChange;
     }
   }
   aDigest.__set_operatorVersion(
@@ -171,7 +171,7 @@
 }
 
 // One that has missed an earlier change learns it from the digests' versions.
-void TableSpread::PassOn(const TableNews& aNews, state::Version aBefore)
+void TableSpread::PassOn(const TableUpdate& aNews, state::Version aBefore)
 {
   if (!this->neighbours.Cells().IsDivided() || !this->IsFollowing()) {
     return;
@@ -179,7 +179,7 @@
   // Failure: a configuration of some 300 KB, three times a second, to nine
   // mates over a link of 10 Mbit/s held up the requests for seconds. What is
   // large each host reads from the store, as soon as a digest names it.
-  if (aNews.whole || aBefore == 0 || BytesOf(aNews.rows) > kLargeRowBytes) {
+  if (aNews.isFull || aBefore == 0 || BytesOf(aNews.rows) > kLargeRowBytes) {
     this->hooks.tellVersions();
     return;
   }
@@ -203,7 +203,7 @@
 void TableSpread::OnQuery(const std::string& aFrom,
                           const protocol::TableQuery& aQuery)
 {
-  const TableCopy& copy = this->tables.Find(aQuery.table);
+  const TableReplica& copy = this->tables.Find(aQuery.table);
   const auto changes = aQuery.after > 0
                          ? this->tables.ChangesSince(aQuery.table, aQuery.after)
                          : std::nullopt;
--- a/src/node/internal/tablespread.h
+++ b/src/node/internal/tablespread.h
@@ -17,7 +17,7 @@
 #include "node/internal/catchup.h"
 #include "node/internal/peertopology.h"
 #include "node/internal/peerduty.h"
-#include "node/internal/tables.h"
+#include "node/internal/tablereplicas.h"
 #include "protocol/gen/peer_types.h"
 #include "state/types.h"
 
@@ -80,7 +80,7 @@
               const std::set<std::string>& aReachable, bool aIsFirstStart,
               Hooks aHooks);
 
-  const TableCopy& Find(const std::string& aTable) const
+  const TableReplica& Find(const std::string& aTable) const
   {
     return this->tables.Find(aTable);
   }
@@ -89,7 +89,7 @@
   bool IsFollowing() const { return !this->followed.empty(); }
 
   // From the store, or as a peer has it.
-  void OnNews(const TableNews& aNews);
+  void OnNews(const TableUpdate& aNews);
   void OnReadEnded(const std::string& aTable, Duration aTook);
   void SetStoreWell(bool aWell) { this->isStoreWell = aWell; }
   void SetStanding(Standing aStanding);
@@ -110,7 +110,7 @@
 private:
   bool ReachesStore(const state::HostId& aHost) const;
   void ChooseFollowed(const std::vector<state::HostId>& aLiveMates);
-  void PassOn(const TableNews& aNews, state::Version aBefore);
+  void PassOn(const TableUpdate& aNews, state::Version aBefore);
   bool IsAhead(const KnownPeer& aPeer, const std::string& aTable) const;
   std::vector<state::HostId> PeersAhead(const std::string& aTable) const;
   CatchUp& CatchUpOf(const std::string& aTable);
@@ -123,7 +123,7 @@
   const std::set<std::string>& reachable;
   const bool isFirstStart;
   const Hooks hooks;
-  TableCopies tables;
+  TableReplicas tables;
   std::map<std::string, CatchUp> catchUps;
   std::set<std::string> followed;
   bool isStoreWell = true;
--- a/src/node/tests/spreadworld.h
+++ b/src/node/tests/spreadworld.h
@@ -365,7 +365,7 @@
                                   const std::vector<state::StoredRow>&,
                                   milliseconds) {
       if (aTable == kHostTable) {
-        const TableCopy& copy =
+        const TableReplica& copy =
           this->hosts[aHost]->parts->tables.Find(kHostTable);
         std::vector<state::StoredRow> known;
         std::ranges::transform(copy.rows, std::back_inserter(known),
@@ -536,7 +536,7 @@
     });
   }
 
-  void Tell(std::size_t aHost, const TableNews& aNews)
+  void Tell(std::size_t aHost, const TableUpdate& aNews)
   {
     if (this->onNews) {
       this->onNews(aHost);
--- a/src/node/tests/storeduty_test.cpp
+++ b/src/node/tests/storeduty_test.cpp
@@ -49,7 +49,7 @@
     this->thread.emplace(64);
     this->duty.emplace(
       *this->thread, kStore, "", std::vector<std::string>{ "op", "servers" },
-      StoreDuty::Hooks{ [this](const TableNews& aNews) { this->OnNews(aNews); },
+      StoreDuty::Hooks{ [this](const TableUpdate& aNews) { this->OnNews(aNews); },
                         [this](bool aWell) { this->OnWell(aWell); },
                         [](const TableReadEnd&) {},
                         {} });
@@ -150,8 +150,8 @@
     this->store->Put("i-1", "here");
     this->store->Put("i-2", "here");
     this->duty->Follow({ { "servers", 1 } }, false);
-    const TableNews first = this->AwaitRow("i-2", false);
-    CPPUNIT_ASSERT(!first.whole);
+    const TableUpdate first = this->AwaitRow("i-2", false);
+    CPPUNIT_ASSERT(!first.isFull);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, first.rows.size());
     CPPUNIT_ASSERT_EQUAL(0, this->store->ReadCount());
   }
@@ -204,7 +204,7 @@
     this->changed.notify_all();
   }
 
-  void OnNews(const TableNews& aNews)
+  void OnNews(const TableUpdate& aNews)
   {
     const std::scoped_lock lock(this->mutex);
     this->news.push_back(aNews);
@@ -213,17 +213,17 @@
 
   // The first news that tell of the row so: a whole table without it says that
   // it is gone.
-  TableNews AwaitRow(const std::string& aKey, bool aRemoved)
+  TableUpdate AwaitRow(const std::string& aKey, bool aRemoved)
   {
     std::unique_lock lock(this->mutex);
-    std::optional<TableNews> found;
+    std::optional<TableUpdate> found;
     this->changed.wait_for(lock, std::chrono::seconds(8), [&] {
-      const auto tells = [&](const TableNews& aNews) {
+      const auto tells = [&](const TableUpdate& aNews) {
         const auto row =
           std::ranges::find(aNews.rows, aKey, &state::StoredRow::key);
         const bool isThere = row != aNews.rows.end() && !row->removed;
         const bool isGone =
-          row == aNews.rows.end() ? aNews.whole : row->removed;
+          row == aNews.rows.end() ? aNews.isFull : row->removed;
         return aRemoved ? isGone : isThere;
       };
       const auto one = std::ranges::find_if(this->news, tells);
@@ -239,7 +239,7 @@
 
   std::mutex mutex;
   std::condition_variable changed;
-  std::vector<TableNews> news;
+  std::vector<TableUpdate> news;
   bool well = true;
   std::optional<FakeStoreServer> store;
   std::optional<transport::DutyThread> thread;
--- a/src/node/tests/tables_test.cpp
+++ b/src/node/tests/tablereplicas_test.cpp
@@ -1,7 +1,7 @@
 // Copies of the store's tables, and what peers say.
 
 #include "node/internal/peerduty.h"
-#include "node/internal/tables.h"
+#include "node/internal/tablereplicas.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -63,16 +63,16 @@
     this->tables.Apply("servers", { Row("a", "", 1), Row("b", "", 2) }, true,
                        90);
     CPPUNIT_ASSERT_EQUAL(state::Version{ 2 },
-                         this->tables.Find("servers").changed);
+                         this->tables.Find("servers").lastChange);
     CPPUNIT_ASSERT_EQUAL(state::Version{ 90 },
                          this->tables.Find("servers").version);
     // What is found to be gone is a change, of some time before now.
     this->tables.Apply("servers", { Row("b", "", 2) }, true, 95);
     CPPUNIT_ASSERT_EQUAL(state::Version{ 95 },
-                         this->tables.Find("servers").changed);
+                         this->tables.Find("servers").lastChange);
     this->tables.Apply("servers", { Row("c", "", 97) }, false, 97);
     CPPUNIT_ASSERT_EQUAL(state::Version{ 97 },
-                         this->tables.Find("servers").changed);
+                         this->tables.Find("servers").lastChange);
   }
 
   // The store turns a host away, and it asks a peer for the table. Without the
@@ -87,12 +87,12 @@
     for (const auto& [key, row] : this->tables.Find("servers").rows) {
       copied.push_back(FromWire("servers", ToWire(row)));
     }
-    TableCopies other;
+    TableReplicas other;
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 2 },
                          other.Apply("servers", copied, true, 90).size());
-    CPPUNIT_ASSERT_EQUAL(state::Version{ 2 }, other.Find("servers").changed);
+    CPPUNIT_ASSERT_EQUAL(state::Version{ 2 }, other.Find("servers").lastChange);
     CPPUNIT_ASSERT(other.Apply("servers", copied, true, 95).empty());
-    CPPUNIT_ASSERT_EQUAL(state::Version{ 2 }, other.Find("servers").changed);
+    CPPUNIT_ASSERT_EQUAL(state::Version{ 2 }, other.Find("servers").lastChange);
   }
 
   void testChangesAlreadyCopiedAreNoNews()
@@ -112,7 +112,7 @@
                        true, 100);
     // A copy that is not complete is not handed on as if it were.
     CPPUNIT_ASSERT_EQUAL(state::Version{ 100 },
-                         this->tables.Find("servers").changed);
+                         this->tables.Find("servers").lastChange);
     CPPUNIT_ASSERT(this->tables.ChangesSince("servers", 100)->empty());
     const auto changed = this->tables.Apply(
       "servers", { Row("a", "leaves", 105), Row("z", "", 108) }, false, 108);
@@ -132,7 +132,7 @@
   {
     this->tables.Apply("servers", { Row("a", "", 1), Row("b", "", 2) }, true,
                        5);
-    TableCopies other = this->tables;
+    TableReplicas other = this->tables;
     state::StoredRow gone = Row("a", "", 7);
     gone.removed = true;
     this->tables.Apply("servers", { gone, Row("c", "", 8) }, false, 8);
@@ -210,7 +210,7 @@
     return { "", "", std::move(aKey), std::move(aValue), aVersion, false };
   }
 
-  TableCopies tables;
+  TableReplicas tables;
   TimePoint now{ std::chrono::hours(1) };
 };
 
