--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -117,7 +117,7 @@
                                 this->settings.resendShare,
                                 this->settings.resendExtra },
     this->upstreams, this->DispatcherHooks());
-  this->tables = std::make_unique<TableSpread>(
+  this->tables = std::make_unique<TableReplication>(
     this->neighbours, this->peers, this->reachable, this->settings.isFirstStart,
     this->SpreadHooks());
   this->registration = std::make_unique<Registration>(
@@ -133,12 +133,12 @@
     StoreDuty::Hooks{
       [this](TableUpdate aNews) {
         this->serving.Hand(
-          [this, news = std::move(aNews)] { this->tables->OnNews(news); });
+          [this, news = std::move(aNews)] { this->tables->OnUpdate(news); });
       },
       [this](bool aWell) {
         this->serving.Hand([this, aWell] {
           this->isStoreWell = aWell;
-          this->tables->SetStoreWell(aWell);
+          this->tables->SetStoreAvailable(aWell);
           this->log.Write(aWell ? Event::kStoreBack : Event::kStoreDown);
           this->keys->SetStoreWell(aWell);
         });
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -15,7 +15,7 @@
 #include "node/internal/peerduty.h"
 #include "node/internal/registration.h"
 #include "node/internal/storeduty.h"
-#include "node/internal/tablespread.h"
+#include "node/internal/tablereplication.h"
 #include "protocol/errorcounters.h"
 #include "routing/dispatcher.h"
 #include "routing/upstreams.h"
@@ -78,7 +78,7 @@
   bool IsConfigurationBehind() const;
   void ApplyUpstreamRows(const std::vector<state::StoredRow>& aChanged,
                          std::chrono::milliseconds aGrace);
-  TableSpread::Hooks SpreadHooks();
+  TableReplication::Hooks SpreadHooks();
   Registration::Hooks RegistrationHooks();
   // Itself included.
   std::vector<state::HostId> LiveMates() const;
@@ -122,7 +122,7 @@
   std::shared_ptr<const routing::RouteTable> routes;
   // Peers with a connection.
   std::set<std::string> reachable;
-  std::unique_ptr<TableSpread> tables;
+  std::unique_ptr<TableReplication> tables;
   std::unique_ptr<Registration> registration;
   ServerPtr callerServer;
   ServerPtr checkServer;
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -103,10 +103,10 @@
 {
   const bool isKnown = this->registration->HasLooked() ||
                        this->tables->Find(kHostTable).version > 0;
-  this->tables->SetStanding(isKnown ? Standing::kKnown
+  this->tables->SetHostListState(isKnown ? HostListState::kKnown
                             : this->registration->HasFailed()
-                              ? Standing::kAlone
-                              : Standing::kUnknown);
+                              ? HostListState::kUnavailable
+                              : HostListState::kUnknown);
   this->tables->OnTimer(aLiveMates);
 }
 
@@ -114,7 +114,7 @@
 void Gateway::Impl::OnFirstHosts(const state::RowsRead& aRead)
 {
   if (!aRead.isPartial) {
-    this->tables->OnNews({ kHostTable, true, aRead.rows, aRead.version, {} });
+    this->tables->OnUpdate({ kHostTable, true, aRead.rows, aRead.version, {} });
   } else if (this->tables->Find(kHostTable).version == 0) {
     this->SetHosts(aRead.rows);
   }
@@ -187,7 +187,7 @@
   this->upstreams.OnPeerReports(id, reports, BootTime());
   this->keys->OnUses(aDigest.keyUses);
   const KnownPeer& peer = this->peers.All().at(id);
-  this->tables->OnVersions(peer);
+  this->tables->OnPeerVersions(peer);
   for (const auto& update : this->keys->WholeFor(peer)) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
@@ -278,7 +278,7 @@
   digest.__set_number(this->peers.NextDigest());
   digest.__set_leaving(this->isLeaving);
   digest.__set_reachesStore(this->isStoreWell);
-  this->tables->Name(digest);
+  this->tables->AddVersionsTo(digest);
   digest.__set_keyMaps(this->keys->Marks());
   return digest;
 }
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -18,9 +18,9 @@
 
 using std::chrono::milliseconds;
 
-TableSpread::Hooks Gateway::Impl::SpreadHooks()
+TableReplication::Hooks Gateway::Impl::SpreadHooks()
 {
-  TableSpread::Hooks hooks;
+  TableReplication::Hooks hooks;
   hooks.now = BootTime;
   hooks.send = [this](const std::string& aTo, const protocol::Frame& aFrame) {
     static_cast<void>(this->network->Send(aTo, aFrame));
@@ -32,13 +32,13 @@
   hooks.follow = [this](const FollowedTables& aTables, bool aIsStandIn) {
     this->store->Follow(aTables, aIsStandIn);
   };
-  hooks.readWhole = [this](const std::string& aTable) {
+  hooks.readFullTable = [this](const std::string& aTable) {
     this->store->ReadAnew(aTable);
   };
-  hooks.heardAt = [this](const std::string& aTable) {
+  hooks.storeReceivedAt = [this](const std::string& aTable) {
     return this->store->HeardAt(aTable);
   };
-  hooks.changed = [this](const std::string& aTable,
+  hooks.rowsChanged = [this](const std::string& aTable,
                          const std::vector<state::StoredRow>& aChanged,
                          milliseconds aGrace) {
     this->OnTableChanged(aTable, aChanged, aGrace);
@@ -49,7 +49,7 @@
   hooks.caughtUp = [this](const std::string& aTable, Duration aBehind) {
     this->OnCaughtUp(aTable, aBehind);
   };
-  hooks.tellVersions = [this] {
+  hooks.announceVersions = [this] {
     this->neighbours.RequestImmediateDigest();
     this->SendDigests();
   };
--- a/src/node/internal/tablespread.cpp
+++ b/src/node/internal/tablereplication.cpp
@@ -1,6 +1,6 @@
 // Followers of tables, and the ways of their news.
 
-#include "node/internal/tablespread.h"
+#include "node/internal/tablereplication.h"
 
 #include "framework/rendezvous.h"
 #include "platform/names.h"
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TableSpread::TableSpread(PeerTopology& aNeighbours, const Peers& aPeers,
+TableReplication::TableReplication(PeerTopology& aNeighbours, const Peers& aPeers,
                          const std::set<std::string>& aReachable,
                          bool aIsFirstStart, Hooks aHooks)
   : neighbours(aNeighbours)
@@ -73,20 +73,20 @@
 // Failure: all hosts were killed at once. Hundreds of them had the upstreams'
 // table, the large one, from three hubs, which took these 1.6 s; until then
 // nothing was served. The store gives it to all within moments, for one call.
-void TableSpread::SetStanding(Standing aStanding)
+void TableReplication::SetHostListState(HostListState aStanding)
 {
-  const Standing before = std::exchange(this->standing, aStanding);
+  const HostListState before = std::exchange(this->standing, aStanding);
   const std::string upstreams(platform::kUpstreamTable);
-  if (before == Standing::kUnknown && aStanding == Standing::kKnown &&
+  if (before == HostListState::kUnknown && aStanding == HostListState::kKnown &&
       !this->isFirstStart && this->neighbours.Cells().IsDivided() &&
       this->tables.Find(upstreams).version == 0) {
-    this->hooks.readWhole(upstreams);
+    this->hooks.readFullTable(upstreams);
   }
 }
 
 // --- what comes in
 
-void TableSpread::OnNews(const TableUpdate& aNews)
+void TableReplication::OnUpdate(const TableUpdate& aNews)
 {
   const state::Version before = this->tables.Find(aNews.table).lastChange;
   const std::vector<state::StoredRow> changed =
@@ -100,24 +100,24 @@
     return;
   }
   this->PassOn(aNews, before);
-  this->hooks.changed(aNews.table, changed, aNews.grace);
+  this->hooks.rowsChanged(aNews.table, changed, aNews.grace);
 }
 
-void TableSpread::OnReadEnded(const std::string& aTable, Duration aTook)
+void TableReplication::OnReadEnded(const std::string& aTable, Duration aTook)
 {
   this->CatchUpOf(aTable).OnStoreRead(aTook);
 }
 
-void TableSpread::OnCopy(const protocol::TableCopy& aCopy)
+void TableReplication::OnCopy(const protocol::TableCopy& aCopy)
 {
   this->CatchUpOf(aCopy.table).OnPeerAnswer();
   TableUpdate news = NewsOf(aCopy.table, aCopy.rows);
   news.isFull = true;
   news.version = aCopy.version;
-  this->OnNews(news);
+  this->OnUpdate(news);
 }
 
-void TableSpread::OnChange(const protocol::TableChange& aChange)
+void TableReplication::OnChange(const protocol::TableChange& aChange)
 {
   this->CatchUpOf(aChange.table).OnPeerAnswer();
   const state::Version own = this->tables.Find(aChange.table).version;
@@ -127,13 +127,13 @@
   TableUpdate news = NewsOf(aChange.table, aChange.rows);
   news.version = own;
   news.grace = milliseconds(aChange.graceMs);
-  this->OnNews(news);
+  this->OnUpdate(news);
 }
 
 // Failure: all hosts were killed at once, and had no configuration for half a
 // second, until a hub's next digest had named its version. Its rows are few;
 // the other tables would only hold them up.
-void TableSpread::OnPeerUp(const state::HostId& aPeer)
+void TableReplication::OnPeerUp(const state::HostId& aPeer)
 {
   const std::string operators(platform::kOperatorTable);
   if (this->neighbours.IsHub(aPeer) &&
@@ -142,7 +142,7 @@
   }
 }
 
-void TableSpread::OnVersions(const KnownPeer& aPeer)
+void TableReplication::OnPeerVersions(const KnownPeer& aPeer)
 {
   for (const std::string& table : SpreadTables()) {
     if (this->IsAhead(aPeer, table)) {
@@ -154,7 +154,7 @@
 
 // --- what goes out
 
-void TableSpread::Name(protocol::HostDigest& aDigest)
+void TableReplication::AddVersionsTo(protocol::HostDigest& aDigest)
 {
   for (const std::string& table : SpreadTables()) {
     // What is in grace here may be gone already at a peer that copies; it
@@ -171,7 +171,7 @@
 }
 
 // One that has missed an earlier change learns it from the digests' versions.
-void TableSpread::PassOn(const TableUpdate& aNews, state::Version aBefore)
+void TableReplication::PassOn(const TableUpdate& aNews, state::Version aBefore)
 {
   if (!this->neighbours.Cells().IsDivided() || !this->IsFollowing()) {
     return;
@@ -180,7 +180,7 @@
   // mates over a link of 10 Mbit/s held up the requests for seconds. What is
   // large each host reads from the store, as soon as a digest names it.
   if (aNews.isFull || aBefore == 0 || BytesOf(aNews.rows) > kLargeRowBytes) {
-    this->hooks.tellVersions();
+    this->hooks.announceVersions();
     return;
   }
   std::vector<std::string> told;
@@ -200,7 +200,7 @@
   this->hooks.sendToAll(told, frame);
 }
 
-void TableSpread::OnQuery(const std::string& aFrom,
+void TableReplication::OnQuery(const std::string& aFrom,
                           const protocol::TableQuery& aQuery)
 {
   const TableReplica& copy = this->tables.Find(aQuery.table);
@@ -234,18 +234,18 @@
 
 // --- what is missing
 
-bool TableSpread::IsAhead(const KnownPeer& aPeer,
+bool TableReplication::IsAhead(const KnownPeer& aPeer,
                           const std::string& aTable) const
 {
   return NamedBy(aPeer, aTable) > this->tables.Find(aTable).version;
 }
 
-CatchUp& TableSpread::CatchUpOf(const std::string& aTable)
+CatchUp& TableReplication::CatchUpOf(const std::string& aTable)
 {
   return this->catchUps.try_emplace(aTable, this->hooks.now).first->second;
 }
 
-std::vector<state::HostId> TableSpread::PeersAhead(
+std::vector<state::HostId> TableReplication::PeersAhead(
   const std::string& aTable) const
 {
   std::vector<state::HostId> ahead;
@@ -264,7 +264,7 @@
   return ahead;
 }
 
-void TableSpread::CatchUpWith(const std::string& aTable)
+void TableReplication::CatchUpWith(const std::string& aTable)
 {
   CatchUp& catchUp = this->CatchUpOf(aTable);
   if (!catchUp.IsBehind()) {
@@ -275,18 +275,18 @@
   situation.follows = this->followed.contains(aTable);
   situation.isLarge = this->tables.IsLarge(aTable);
   situation.hasNone = this->tables.Find(aTable).version == 0;
-  situation.storeHeardAt = this->hooks.heardAt(aTable);
+  situation.storeHeardAt = this->hooks.storeReceivedAt(aTable);
   situation.ahead = this->PeersAhead(aTable);
   const CatchUp::Ask ask = catchUp.Next(situation);
   if (ask.store) {
-    this->hooks.readWhole(aTable);
+    this->hooks.readFullTable(aTable);
   }
   if (ask.peer) {
     this->AskPeer(*ask.peer, aTable);
   }
 }
 
-void TableSpread::AskPeer(const state::HostId& aPeer, const std::string& aTable)
+void TableReplication::AskPeer(const state::HostId& aPeer, const std::string& aTable)
 {
   protocol::Frame frame;
   protocol::TableQuery query;
@@ -296,7 +296,7 @@
   this->hooks.send(aPeer.value, frame);
 }
 
-void TableSpread::OnTimer(const std::vector<state::HostId>& aLiveMates)
+void TableReplication::OnTimer(const std::vector<state::HostId>& aLiveMates)
 {
   this->ChooseFollowed(aLiveMates);
   for (const std::string& table : SpreadTables()) {
@@ -306,21 +306,21 @@
 
 // --- who follows
 
-bool TableSpread::ReachesStore(const state::HostId& aHost) const
+bool TableReplication::ReachesStore(const state::HostId& aHost) const
 {
   const auto found = this->peers.All().find(aHost);
   return found != this->peers.All().end() && found->second.reachesStore;
 }
 
-void TableSpread::ChooseFollowed(const std::vector<state::HostId>& aLiveMates)
+void TableReplication::ChooseFollowed(const std::vector<state::HostId>& aLiveMates)
 {
   const bool isReader =
-    this->standing == Standing::kKnown &&
+    this->standing == HostListState::kKnown &&
     this->neighbours.ShouldFollowTables(aLiveMates, [this](const state::HostId& aHost) {
       return this->ReachesStore(aHost);
     });
   std::set<std::string> wanted;
-  if (isReader || this->standing == Standing::kAlone) {
+  if (isReader || this->standing == HostListState::kUnavailable) {
     wanted.insert(SpreadTables().begin(), SpreadTables().end());
     // Few hosts look at the hosts' table now and then; see Registration.
     if (!this->neighbours.Cells().IsDivided()) {
--- a/src/node/internal/tablespread.h
+++ b/src/node/internal/tablereplication.h
@@ -34,16 +34,16 @@
 using FollowedTables = std::map<std::string, state::Version>;
 
 // What a host knows of the others.
-enum class Standing
+enum class HostListState
 {
   // Nothing yet; it follows no table, as others most likely do.
   kUnknown,
   // Nothing, and the store did not tell: it follows the tables until it does.
-  kAlone,
+  kUnavailable,
   kKnown,
 };
 
-class TableSpread
+class TableReplication
 {
 public:
   struct Hooks
@@ -57,26 +57,26 @@
     // many that stand in for the hubs, which must not press a failing store.
     std::function<void(const FollowedTables&, bool aIsStandIn)> follow;
     // Asks the store for the whole table.
-    std::function<void(const std::string&)> readWhole;
+    std::function<void(const std::string&)> readFullTable;
     // When bytes of an answer about the table last came from the store.
-    std::function<TimePoint(const std::string&)> heardAt;
+    std::function<TimePoint(const std::string&)> storeReceivedAt;
     // Rows have changed, removed ones included; what is gone may be used on
     // for the grace.
     std::function<void(const std::string&, const std::vector<state::StoredRow>&,
                        std::chrono::milliseconds)>
-      changed;
+      rowsChanged;
     // Whether what this host tells of the table is settled; rows that are gone
     // may still be in grace.
     std::function<bool(const std::string&)> isSettled;
     // How long this host had lacked a change that a peer had named.
     std::function<void(const std::string&, Duration)> caughtUp;
     // A change is not passed on and has to be named by the next digest, now.
-    std::function<void()> tellVersions;
+    std::function<void()> announceVersions;
   };
 
   // All outlive this.
   // aIsFirstStart: of all hosts; see Registration.
-  TableSpread(PeerTopology& aNeighbours, const Peers& aPeers,
+  TableReplication(PeerTopology& aNeighbours, const Peers& aPeers,
               const std::set<std::string>& aReachable, bool aIsFirstStart,
               Hooks aHooks);
 
@@ -89,10 +89,10 @@
   bool IsFollowing() const { return !this->followed.empty(); }
 
   // From the store, or as a peer has it.
-  void OnNews(const TableUpdate& aNews);
+  void OnUpdate(const TableUpdate& aNews);
   void OnReadEnded(const std::string& aTable, Duration aTook);
-  void SetStoreWell(bool aWell) { this->isStoreWell = aWell; }
-  void SetStanding(Standing aStanding);
+  void SetStoreAvailable(bool aWell) { this->isStoreWell = aWell; }
+  void SetHostListState(HostListState aStanding);
 
   // A connection to the peer is there.
   void OnPeerUp(const state::HostId& aPeer);
@@ -100,12 +100,12 @@
   void OnCopy(const protocol::TableCopy& aCopy);
   void OnChange(const protocol::TableChange& aChange);
   // The peer's digest was taken; it names versions of tables.
-  void OnVersions(const KnownPeer& aPeer);
+  void OnPeerVersions(const KnownPeer& aPeer);
 
   void OnTimer(const std::vector<state::HostId>& aLiveMates);
 
   // The versions to be named to peers.
-  void Name(protocol::HostDigest& aDigest);
+  void AddVersionsTo(protocol::HostDigest& aDigest);
 
 private:
   bool ReachesStore(const state::HostId& aHost) const;
@@ -127,7 +127,7 @@
   std::map<std::string, CatchUp> catchUps;
   std::set<std::string> followed;
   bool isStoreWell = true;
-  Standing standing = Standing::kUnknown;
+  HostListState standing = HostListState::kUnknown;
   // Of each table, what was named last; see isSettled.
   std::map<std::string, state::Version> named;
 };
--- a/src/node/tests/spreadworld.h
+++ b/src/node/tests/spreadworld.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "node/internal/registration.h"
-#include "node/internal/tablespread.h"
+#include "node/internal/tablereplication.h"
 #include "platform/names.h"
 #include "protocol/errorkind.h"
 
@@ -162,7 +162,7 @@
 
     Peers peers;
     PeerTopology neighbours;
-    TableSpread tables;
+    TableReplication tables;
     Registration registration;
     bool reachesStore = true;
   };
@@ -265,10 +265,10 @@
     live.push_back({ this->hosts[aHost]->name });
     const bool isKnown = parts.registration.HasLooked() ||
                          parts.tables.Find(kHostTable).version > 0;
-    parts.tables.SetStanding(isKnown ? Standing::kKnown
+    parts.tables.SetHostListState(isKnown ? HostListState::kKnown
                              : parts.registration.HasFailed()
-                               ? Standing::kAlone
-                               : Standing::kUnknown);
+                               ? HostListState::kUnavailable
+                               : HostListState::kUnknown);
     parts.tables.OnTimer(live);
   }
 
@@ -308,7 +308,7 @@
     digest.sender.__set_incarnation(host.run);
     digest.__set_number(parts.peers.NextDigest());
     digest.__set_reachesStore(parts.reachesStore);
-    parts.tables.Name(digest);
+    parts.tables.AddVersionsTo(digest);
     frame.__set_hostDigest(digest);
     for (const std::string& to : told) {
       this->Send(aHost, to, frame);
@@ -323,11 +323,11 @@
       return;
     }
     this->AfterOn(to, kTrip, [this, aFrom, to, aFrame] {
-      TableSpread& tables = this->hosts[to]->parts->tables;
+      TableReplication& tables = this->hosts[to]->parts->tables;
       const std::string& from = this->hosts[aFrom]->name;
       if (aFrame.__isset.hostDigest) {
         this->hosts[to]->parts->peers.OnDigest(aFrame.hostDigest);
-        tables.OnVersions(this->hosts[to]->parts->peers.All().at({ from }));
+        tables.OnPeerVersions(this->hosts[to]->parts->peers.All().at({ from }));
       } else if (aFrame.__isset.tableQuery) {
         tables.OnQuery(from, aFrame.tableQuery);
       } else if (aFrame.__isset.tableCopy) {
@@ -338,9 +338,9 @@
     });
   }
 
-  TableSpread::Hooks HooksOf(std::size_t aHost)
+  TableReplication::Hooks HooksOf(std::size_t aHost)
   {
-    TableSpread::Hooks hooks;
+    TableReplication::Hooks hooks;
     hooks.now = this->WorldClock();
     hooks.send = [this, aHost](const std::string& aTo,
                                const protocol::Frame& aFrame) {
@@ -357,11 +357,11 @@
       this->hosts[aHost]->pause = aIsStandIn ? kStandInsPause : kPause;
       this->Follow(aHost, aTables);
     };
-    hooks.readWhole = [this, aHost](const std::string& aTable) {
+    hooks.readFullTable = [this, aHost](const std::string& aTable) {
       this->ReadWhole(aHost, aTable);
     };
-    hooks.heardAt = [this](const std::string&) { return this->now; };
-    hooks.changed = [this, aHost](const std::string& aTable,
+    hooks.storeReceivedAt = [this](const std::string&) { return this->now; };
+    hooks.rowsChanged = [this, aHost](const std::string& aTable,
                                   const std::vector<state::StoredRow>&,
                                   milliseconds) {
       if (aTable == kHostTable) {
@@ -376,7 +376,7 @@
     };
     hooks.isSettled = [](const std::string&) { return true; };
     hooks.caughtUp = [](const std::string&, Duration) {};
-    hooks.tellVersions = [this, aHost] {
+    hooks.announceVersions = [this, aHost] {
       this->hosts[aHost]->parts->neighbours.RequestImmediateDigest();
       this->SendDigests(aHost);
     };
@@ -433,9 +433,9 @@
       return this->hosts[aHost]->parts->neighbours.Cells().IsDivided();
     };
     hooks.found = [this, aHost](const state::RowsRead& aRead) {
-      TableSpread& tables = this->hosts[aHost]->parts->tables;
+      TableReplication& tables = this->hosts[aHost]->parts->tables;
       if (!aRead.isPartial) {
-        tables.OnNews({ kHostTable, true, aRead.rows, aRead.version, {} });
+        tables.OnUpdate({ kHostTable, true, aRead.rows, aRead.version, {} });
       } else if (tables.Find(kHostTable).version == 0) {
         this->SetHosts(aHost, aRead.rows);
       }
@@ -497,7 +497,7 @@
     const bool begins =
       aIsServed && std::exchange(this->hosts[aHost]->isProbing, false);
     parts.reachesStore = aIsServed;
-    parts.tables.SetStoreWell(aIsServed);
+    parts.tables.SetStoreAvailable(aIsServed);
     if (returned || begins) {
       for (const auto& [table, watch] : this->hosts[aHost]->watches) {
         this->After(milliseconds(0),
@@ -549,7 +549,7 @@
     if (watch != host.watches.end()) {
       watch->second.version = aNews.version;
     }
-    host.parts->tables.OnNews(aNews);
+    host.parts->tables.OnUpdate(aNews);
     this->AfterOn(aHost, kGather, [this, aHost, table = aNews.table] {
       this->Ask(aHost, table);
     });
