--- a/src/node/internal/catchup.cpp
+++ b/src/node/internal/catchup.cpp
@@ -36,14 +36,14 @@
 {
 }
 
-void CatchUp::OnNamed(state::Version aVersion)
+void CatchUp::OnAnnounced(state::Version aVersion)
 {
   if (this->missing.empty() || this->missing.back().version < aVersion) {
     this->missing.push_back({ aVersion, this->clock() });
   }
 }
 
-std::optional<Duration> CatchUp::OnOwn(state::Version aVersion)
+std::optional<Duration> CatchUp::OnVersionReached(state::Version aVersion)
 {
   std::optional<Duration> longest;
   while (!this->missing.empty() && this->missing.front().version <= aVersion) {
@@ -61,7 +61,7 @@
   this->storeDue = this->clock() + std::min<Duration>(kMostRest, aTook / 2);
 }
 
-CatchUp::Ask CatchUp::Next(const Situation& aSituation)
+CatchUp::Requests CatchUp::TakeRequests(const Situation& aSituation)
 {
   if (this->missing.empty()) {
     return {};
@@ -76,9 +76,9 @@
 bool CatchUp::IsArriving(const Situation& aSituation) const
 {
   const TimePoint alive =
-    this->storeOwes ? std::max(this->storeAskedAt, aSituation.storeHeardAt)
-                    : aSituation.storeHeardAt;
-  return aSituation.storeAnswers && aSituation.isLarge &&
+    this->storeOwes ? std::max(this->storeAskedAt, aSituation.storeReceivedAt)
+                    : aSituation.storeReceivedAt;
+  return aSituation.isStoreAvailable && aSituation.isLarge &&
          this->clock() - alive < kBetweenBytes;
 }
 
@@ -86,12 +86,12 @@
 {
   // Large rows are not passed on, so that nothing is under way to a host that
   // does not follow. Small ones are had from a peer with fewer bytes.
-  const bool isNotPassedOn = aSituation.isLarge && !aSituation.follows;
+  const bool isNotPassedOn = aSituation.isLarge && !aSituation.isFollowing;
   const Duration ofSmall =
-    aSituation.hasNone && !aSituation.follows ? kFirstCopies : kOwnWayIsSilent;
+    aSituation.hasNoReplica && !aSituation.isFollowing ? kFirstCopies : kOwnWayIsSilent;
   const Duration patience = isNotPassedOn ? milliseconds(0) : ofSmall;
-  const bool isArriving = aSituation.follows && this->IsArriving(aSituation);
-  if (!aSituation.storeAnswers || this->storeOwes || isArriving ||
+  const bool isArriving = aSituation.isFollowing && this->IsArriving(aSituation);
+  if (!aSituation.isStoreAvailable || this->storeOwes || isArriving ||
       aBehind < patience || this->clock() < this->storeDue) {
     return false;
   }
@@ -103,22 +103,22 @@
 std::optional<state::HostId> CatchUp::TakePeer(const Situation& aSituation,
                                                Duration aBehind)
 {
-  const bool hasOwnWay = aSituation.storeAnswers && aSituation.follows;
+  const bool hasOwnWay = aSituation.isStoreAvailable && aSituation.isFollowing;
   const Duration ofOwnWay =
     aSituation.isLarge ? kOwnWayIsSilent : kFollowerHasNews;
-  const Duration ofNews = aSituation.hasNone ? milliseconds(0) : kNewsUnderWay;
+  const Duration ofNews = aSituation.hasNoReplica ? milliseconds(0) : kNewsUnderWay;
   const Duration patience = hasOwnWay ? ofOwnWay : ofNews;
   const Duration sinceAsked = this->clock() - this->peerAskedAt;
   const Duration pause = !this->peerOwes      ? kPeerAgain
                          : aSituation.isLarge ? kPeerTakesLarge
                                               : kPeerTakes;
-  if (aSituation.ahead.empty() || this->IsArriving(aSituation) ||
+  if (aSituation.peersAhead.empty() || this->IsArriving(aSituation) ||
       aBehind < patience || sinceAsked < pause) {
     return std::nullopt;
   }
   this->peerOwes = true;
   this->peerAskedAt = this->clock();
-  return aSituation.ahead[this->turn++ % aSituation.ahead.size()];
+  return aSituation.peersAhead[this->turn++ % aSituation.peersAhead.size()];
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/catchup.h
+++ b/src/node/internal/catchup.h
@@ -24,39 +24,39 @@
 public:
   struct Situation
   {
-    bool storeAnswers = true;
+    bool isStoreAvailable = true;
     // The host follows the table at the store, so that news are mostly on their
     // way.
-    bool follows = true;
+    bool isFollowing = true;
     // The table holds a large row, which takes a small host's link for long.
     bool isLarge = false;
     // Nothing of the table is here yet: no news can be passed on to this host.
-    bool hasNone = false;
+    bool hasNoReplica = false;
     // When bytes of an answer about the table last came from the store.
-    TimePoint storeHeardAt;
+    TimePoint storeReceivedAt;
     // Peers that have more and can be reached, in the order to ask them in.
-    std::vector<state::HostId> ahead;
+    std::vector<state::HostId> peersAhead;
   };
 
-  struct Ask
+  struct Requests
   {
-    bool store = false;
-    std::optional<state::HostId> peer;
+    bool readStore = false;
+    std::optional<state::HostId> queryPeer;
   };
 
   explicit CatchUp(Clock aClock);
 
   // A peer has named a change that this host does not have.
-  void OnNamed(state::Version aVersion);
+  void OnAnnounced(state::Version aVersion);
   // All changes up to the version are here. How long the host lacked the oldest
   // one that it has now and had not before.
-  std::optional<Duration> OnOwn(state::Version aVersion);
+  std::optional<Duration> OnVersionReached(state::Version aVersion);
   void OnPeerAnswer() { this->peerOwes = false; }
   // A whole read at the store ended, whoever asked for it.
   void OnStoreRead(Duration aTook);
 
   // What to do now; what it names counts as asked.
-  Ask Next(const Situation& aSituation);
+  Requests TakeRequests(const Situation& aSituation);
 
   bool IsBehind() const { return !this->missing.empty(); }
 
--- a/src/node/internal/tablereplication.cpp
+++ b/src/node/internal/tablereplication.cpp
@@ -92,7 +92,7 @@
   const std::vector<state::StoredRow> changed =
     this->tables.Apply(aNews.table, aNews.rows, aNews.isFull, aNews.version);
   const auto behind =
-    this->CatchUpOf(aNews.table).OnOwn(this->tables.Find(aNews.table).version);
+    this->CatchUpOf(aNews.table).OnVersionReached(this->tables.Find(aNews.table).version);
   if (behind) {
     this->hooks.caughtUp(aNews.table, *behind);
   }
@@ -146,7 +146,7 @@
 {
   for (const std::string& table : SpreadTables()) {
     if (this->IsAhead(aPeer, table)) {
-      this->CatchUpOf(table).OnNamed(NamedBy(aPeer, table));
+      this->CatchUpOf(table).OnAnnounced(NamedBy(aPeer, table));
       this->CatchUpWith(table);
     }
   }
@@ -271,18 +271,18 @@
     return;
   }
   CatchUp::Situation situation;
-  situation.storeAnswers = this->isStoreWell;
-  situation.follows = this->followed.contains(aTable);
+  situation.isStoreAvailable = this->isStoreWell;
+  situation.isFollowing = this->followed.contains(aTable);
   situation.isLarge = this->tables.IsLarge(aTable);
-  situation.hasNone = this->tables.Find(aTable).version == 0;
-  situation.storeHeardAt = this->hooks.storeReceivedAt(aTable);
-  situation.ahead = this->PeersAhead(aTable);
-  const CatchUp::Ask ask = catchUp.Next(situation);
-  if (ask.store) {
+  situation.hasNoReplica = this->tables.Find(aTable).version == 0;
+  situation.storeReceivedAt = this->hooks.storeReceivedAt(aTable);
+  situation.peersAhead = this->PeersAhead(aTable);
+  const CatchUp::Requests ask = catchUp.TakeRequests(situation);
+  if (ask.readStore) {
     this->hooks.readFullTable(aTable);
   }
-  if (ask.peer) {
-    this->AskPeer(*ask.peer, aTable);
+  if (ask.queryPeer) {
+    this->AskPeer(*ask.queryPeer, aTable);
   }
 }
 
--- a/src/node/tests/catchup_test.cpp
+++ b/src/node/tests/catchup_test.cpp
@@ -31,76 +31,76 @@
     this->now = TimePoint(std::chrono::hours(1));
     this->catchUp = CatchUp([this] { return this->now; });
     this->situation = {};
-    this->situation.ahead = { { "h1" }, { "h2" } };
+    this->situation.peersAhead = { { "h1" }, { "h2" } };
   }
 
   // A watch went silent, and an upstream in use had left over two seconds ago.
   void testFollowerWhoseCallIsSilentAsksAPeerBeforeTheStore()
   {
-    this->catchUp.OnNamed(7);
-    CPPUNIT_ASSERT(!this->Next().peer);
+    this->catchUp.OnAnnounced(7);
+    CPPUNIT_ASSERT(!this->Next().queryPeer);
     CPPUNIT_ASSERT(this->TimeUntilPeer() <= milliseconds(300));
-    CPPUNIT_ASSERT(!this->Next().store);
+    CPPUNIT_ASSERT(!this->Next().readStore);
     this->now += milliseconds(400);
-    CPPUNIT_ASSERT(this->Next().store);
+    CPPUNIT_ASSERT(this->Next().readStore);
   }
 
   void testHostThatTheStoreTurnsAwayAsksAPeerAtOnce()
   {
-    this->situation.storeAnswers = false;
+    this->situation.isStoreAvailable = false;
     this->situation.isLarge = true;
-    this->catchUp.OnNamed(7);
+    this->catchUp.OnAnnounced(7);
     CPPUNIT_ASSERT(this->TimeUntilPeer() <= milliseconds(100));
-    CPPUNIT_ASSERT(!this->Next().store);
+    CPPUNIT_ASSERT(!this->Next().readStore);
   }
 
   // The host waited for news that nobody sends, and a configuration was late.
   void testLargeRowIsReadAtOnceWhereNobodyPassesItOn()
   {
-    this->situation.follows = false;
+    this->situation.isFollowing = false;
     this->situation.isLarge = true;
-    this->catchUp.OnNamed(7);
-    CPPUNIT_ASSERT(this->Next().store);
+    this->catchUp.OnAnnounced(7);
+    CPPUNIT_ASSERT(this->Next().readStore);
   }
 
   void testMissedSmallRowIsHadFromAPeerNotReadWithTheTable()
   {
-    this->situation.follows = false;
-    this->catchUp.OnNamed(7);
+    this->situation.isFollowing = false;
+    this->catchUp.OnAnnounced(7);
     CPPUNIT_ASSERT(this->TimeUntilPeer() <= milliseconds(100));
-    CPPUNIT_ASSERT(!this->Next().store);
+    CPPUNIT_ASSERT(!this->Next().readStore);
     this->now += milliseconds(500);
-    CPPUNIT_ASSERT(this->Next().store);
+    CPPUNIT_ASSERT(this->Next().readStore);
   }
 
   // Reads of a large row one upon another kept the requests off a small link.
   void testStormOfLargeRowsIsReadOneAtATime()
   {
-    this->situation.follows = false;
+    this->situation.isFollowing = false;
     this->situation.isLarge = true;
-    this->catchUp.OnNamed(7);
-    CPPUNIT_ASSERT(this->Next().store);
+    this->catchUp.OnAnnounced(7);
+    CPPUNIT_ASSERT(this->Next().readStore);
     this->now += milliseconds(500);
-    this->catchUp.OnNamed(8);
-    CPPUNIT_ASSERT(!this->Next().store);
-    this->catchUp.OnOwn(7);
+    this->catchUp.OnAnnounced(8);
+    CPPUNIT_ASSERT(!this->Next().readStore);
+    this->catchUp.OnVersionReached(7);
     this->catchUp.OnStoreRead(milliseconds(500));
-    CPPUNIT_ASSERT(!this->Next().store);
+    CPPUNIT_ASSERT(!this->Next().readStore);
     this->now += milliseconds(250);
-    CPPUNIT_ASSERT(this->Next().store);
+    CPPUNIT_ASSERT(this->Next().readStore);
   }
 
   // A host that always lacked the newest of many took itself for late.
   void testStormOfLargeRowsIsNotAskedOfPeersAsWell()
   {
-    this->situation.follows = false;
+    this->situation.isFollowing = false;
     this->situation.isLarge = true;
     for (state::Version version = 1; version < 20; ++version) {
-      this->catchUp.OnNamed(version);
+      this->catchUp.OnAnnounced(version);
       static_cast<void>(this->Next());
       this->now += milliseconds(300);
-      CPPUNIT_ASSERT(!this->Next().peer);
-      this->catchUp.OnOwn(version - 1);
+      CPPUNIT_ASSERT(!this->Next().queryPeer);
+      this->catchUp.OnVersionReached(version - 1);
       this->catchUp.OnStoreRead(milliseconds(300));
     }
   }
@@ -111,14 +111,14 @@
     for (const bool follows : { true, false }) {
       this->setUp();
       this->situation.isLarge = true;
-      this->situation.follows = follows;
-      this->catchUp.OnNamed(7);
-      CPPUNIT_ASSERT_EQUAL(!follows, this->Next().store);
+      this->situation.isFollowing = follows;
+      this->catchUp.OnAnnounced(7);
+      CPPUNIT_ASSERT_EQUAL(!follows, this->Next().readStore);
       for (int i = 0; i < 20; ++i) {
         this->now += milliseconds(100);
-        this->situation.storeHeardAt = this->now;
+        this->situation.storeReceivedAt = this->now;
         const auto ask = this->Next();
-        CPPUNIT_ASSERT(!ask.store && !ask.peer);
+        CPPUNIT_ASSERT(!ask.readStore && !ask.queryPeer);
       }
     }
   }
@@ -127,15 +127,15 @@
   void testSilentReadOfALargeRowGivesWayToAPeer()
   {
     this->situation.isLarge = true;
-    this->situation.follows = false;
-    this->catchUp.OnNamed(7);
-    CPPUNIT_ASSERT(this->Next().store);
+    this->situation.isFollowing = false;
+    this->catchUp.OnAnnounced(7);
+    CPPUNIT_ASSERT(this->Next().readStore);
     CPPUNIT_ASSERT(this->TimeUntilPeer() <= milliseconds(400));
   }
 
   void testPeerThatDoesNotAnswerGivesWayToAnother()
   {
-    this->catchUp.OnNamed(7);
+    this->catchUp.OnAnnounced(7);
     this->TimeUntilPeer();
     const auto second = this->TimeUntilPeer();
     CPPUNIT_ASSERT(second <= milliseconds(500));
@@ -144,26 +144,26 @@
 
   void testBehindCountsFromTheOldestChangeThatIsMissing()
   {
-    this->catchUp.OnNamed(7);
+    this->catchUp.OnAnnounced(7);
     this->now += milliseconds(200);
-    this->catchUp.OnNamed(9);
+    this->catchUp.OnAnnounced(9);
     this->now += milliseconds(100);
-    CPPUNIT_ASSERT(!this->catchUp.OnOwn(6));
-    CPPUNIT_ASSERT(this->catchUp.OnOwn(8) == milliseconds(300));
+    CPPUNIT_ASSERT(!this->catchUp.OnVersionReached(6));
+    CPPUNIT_ASSERT(this->catchUp.OnVersionReached(8) == milliseconds(300));
     CPPUNIT_ASSERT(this->catchUp.IsBehind());
-    CPPUNIT_ASSERT(this->catchUp.OnOwn(9) == milliseconds(100));
+    CPPUNIT_ASSERT(this->catchUp.OnVersionReached(9) == milliseconds(100));
     CPPUNIT_ASSERT(!this->catchUp.IsBehind());
   }
 
 private:
-  CatchUp::Ask Next() { return this->catchUp.Next(this->situation); }
+  CatchUp::Requests Next() { return this->catchUp.TakeRequests(this->situation); }
 
   // Looks each tick, as the host does.
   Duration TimeUntilPeer()
   {
     const TimePoint begin = this->now;
     while (this->now - begin < std::chrono::seconds(5)) {
-      if (const auto peer = this->Next().peer) {
+      if (const auto peer = this->Next().queryPeer) {
         this->asked = peer->value;
         break;
       }
