--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -81,7 +81,7 @@
   , neighbours({ aSettings.host, aSettings.dataCentre, aSettings.processors },
                { BootTime,
                  [this](const state::HostId& aHost) {
-                   return this->peers.HeardAt(aHost);
+                   return this->peers.LastHeardAt(aHost);
                  } })
   , routes(std::make_shared<routing::RouteTable>())
   , tick(this->serving.Context())
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -12,7 +12,7 @@
 #include "node/gateway.h"
 #include "node/internal/keysduty.h"
 #include "node/internal/peertopology.h"
-#include "node/internal/peerduty.h"
+#include "node/internal/peers.h"
 #include "node/internal/registration.h"
 #include "node/internal/storeduty.h"
 #include "node/internal/tablereplication.h"
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -94,7 +94,7 @@
 
 std::vector<state::HostId> Gateway::Impl::LiveMates() const
 {
-  std::vector<state::HostId> live = this->peers.Live();
+  std::vector<state::HostId> live = this->peers.LiveCellMembers();
   live.push_back(this->self.host);
   return live;
 }
@@ -218,7 +218,7 @@
 {
   const TimePoint now = BootTime();
   this->upstreams.RemoveExpired(now);
-  for (const state::HostId& silent : this->peers.TakeSilent()) {
+  for (const state::HostId& silent : this->peers.TakeNewlySilent()) {
     this->upstreams.ForgetPeer(silent);
     // A connection that went silent stays so; a new one may work.
     this->network->Close(silent.value);
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -222,7 +222,7 @@
   set("kumquat_running", "Requests that run at upstreams.",
       static_cast<std::int64_t>(this->dispatcher->RunningCount()));
   set("kumquat_peers", "Peers heard within the last second.",
-      static_cast<std::int64_t>(this->peers.Live().size()));
+      static_cast<std::int64_t>(this->peers.LiveCellMembers().size()));
   set("kumquat_store_well", "1 where the store answers.",
       this->isStoreWell ? 1 : 0);
   set("kumquat_assigner", "1 where this host assigns keys of a service.",
--- a/src/node/internal/keysduty.h
+++ b/src/node/internal/keysduty.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "node/internal/peerduty.h"
+#include "node/internal/peers.h"
 #include "ownership/assigner.h"
 #include "ownership/keymap.h"
 #include "routing/upstreams.h"
--- a/src/node/internal/peerduty.cpp
+++ b/src/node/internal/peers.cpp
@@ -1,6 +1,6 @@
 // Peers as they were heard, and key maps on the wire.
 
-#include "node/internal/peerduty.h"
+#include "node/internal/peers.h"
 
 #include <algorithm>
 #include <iterator>
@@ -25,11 +25,11 @@
 {
 }
 
-std::int64_t Peers::HeardOf(const state::HostRef& aHost) const
+std::int64_t Peers::LastDigestNumber(const state::HostRef& aHost) const
 {
   const auto found = this->peers.find(aHost.host);
   return found != this->peers.end() && found->second.host == aHost
-           ? found->second.digest
+           ? found->second.lastDigestNumber
            : 0;
 }
 
@@ -42,33 +42,33 @@
     return;
   }
   peer.host = { id, aDigest.sender.incarnation };
-  peer.heardAt = this->clock();
+  peer.lastHeardAt = this->clock();
   peer.leaving = aDigest.leaving;
   peer.reachesStore = aDigest.reachesStore;
   peer.operatorVersion = aDigest.operatorVersion;
   peer.upstreamVersion = aDigest.upstreamVersion;
   peer.hostsVersion = aDigest.hostsVersion;
-  peer.digest = aDigest.number;
+  peer.lastDigestNumber = aDigest.number;
   peer.maps.clear();
   for (const protocol::KeyMapMark& mark : aDigest.keyMaps) {
     const state::ServiceName service{ mark.serviceName };
     peer.maps[service] = FromWire(mark);
     if (peer.maps[service].assigner == this->self) {
-      peer.saidAt[service] = this->times.SentAt(mark.heard);
+      peer.mapConfirmedAt[service] = this->times.SentAt(mark.heard);
     }
   }
   this->silent.erase(id);
 }
 
-TimePoint Peers::HeardAt(const state::HostId& aHost) const
+TimePoint Peers::LastHeardAt(const state::HostId& aHost) const
 {
   const auto found = this->peers.find(aHost);
-  return found == this->peers.end() ? TimePoint{} : found->second.heardAt;
+  return found == this->peers.end() ? TimePoint{} : found->second.lastHeardAt;
 }
 
 bool Peers::IsSilent(const state::HostId& aHost, const KnownPeer& aPeer) const
 {
-  return this->clock() - aPeer.heardAt >=
+  return this->clock() - aPeer.lastHeardAt >=
          (this->isMate(aHost) ? kSilence : kFarSilence);
 }
 
@@ -90,7 +90,7 @@
   return assigners;
 }
 
-std::vector<state::HostId> Peers::Live() const
+std::vector<state::HostId> Peers::LiveCellMembers() const
 {
   std::vector<state::HostId> live;
   for (const auto& [id, peer] : this->peers) {
@@ -106,9 +106,9 @@
 {
   std::vector<ownership::PeerStatus> views;
   for (const auto& [id, peer] : this->peers) {
-    ownership::PeerStatus view{ peer.host, peer.heardAt, peer.leaving, {}, {} };
-    const auto said = peer.saidAt.find(aService);
-    if (said != peer.saidAt.end()) {
+    ownership::PeerStatus view{ peer.host, peer.lastHeardAt, peer.leaving, {}, {} };
+    const auto said = peer.mapConfirmedAt.find(aService);
+    if (said != peer.mapConfirmedAt.end()) {
       view.mapConfirmedAt = said->second;
     }
     const auto map = peer.maps.find(aService);
@@ -120,7 +120,7 @@
   return views;
 }
 
-std::vector<state::HostId> Peers::TakeSilent()
+std::vector<state::HostId> Peers::TakeNewlySilent()
 {
   std::vector<state::HostId> fresh;
   for (const auto& [id, peer] : this->peers) {
--- a/src/node/internal/peerduty.h
+++ b/src/node/internal/peers.h
@@ -22,17 +22,17 @@
 struct KnownPeer
 {
   state::HostRef host;
-  TimePoint heardAt;
+  TimePoint lastHeardAt;
   bool leaving = false;
   bool reachesStore = true;
   state::Version operatorVersion = 0;
   state::Version upstreamVersion = 0;
   state::Version hostsVersion = 0;
   // Of its run; the last that was heard.
-  std::int64_t digest = 0;
+  std::int64_t lastDigestNumber = 0;
   std::map<state::ServiceName, ownership::MapVersion> maps;
   // Where a map is this host's own: a time at which the peer surely went by it.
-  std::map<state::ServiceName, TimePoint> saidAt;
+  std::map<state::ServiceName, TimePoint> mapConfirmedAt;
 };
 
 class Peers
@@ -46,21 +46,21 @@
   // The number of the digest that is sent now.
   std::int64_t NextDigest() { return this->times.RecordSend(this->clock()); }
   // The last digest that was heard from a host's run; 0 where there is none.
-  std::int64_t HeardOf(const state::HostRef& aHost) const;
+  std::int64_t LastDigestNumber(const state::HostRef& aHost) const;
 
   void OnDigest(const protocol::HostDigest& aDigest);
 
   const std::map<state::HostId, KnownPeer>& All() const { return this->peers; }
   // The epoch where it never was.
-  TimePoint HeardAt(const state::HostId& aHost) const;
+  TimePoint LastHeardAt(const state::HostId& aHost) const;
   // Mates heard within the silence that takes a host as gone.
-  std::vector<state::HostId> Live() const;
+  std::vector<state::HostId> LiveCellMembers() const;
   // Hosts that assign keys by the newest map that any peer goes by.
   std::set<state::HostId> Assigners() const;
   std::vector<ownership::PeerStatus> ViewsOf(
     const state::ServiceName& aService) const;
   // Peers that fell silent since the last call.
-  std::vector<state::HostId> TakeSilent();
+  std::vector<state::HostId> TakeNewlySilent();
 
 private:
   bool IsSilent(const state::HostId& aHost, const KnownPeer& aPeer) const;
--- a/src/node/internal/tablereplication.h
+++ b/src/node/internal/tablereplication.h
@@ -16,7 +16,7 @@
 #include "framework/clock.h"
 #include "node/internal/catchup.h"
 #include "node/internal/peertopology.h"
-#include "node/internal/peerduty.h"
+#include "node/internal/peers.h"
 #include "node/internal/tablereplicas.h"
 #include "protocol/gen/peer_types.h"
 #include "state/types.h"
--- a/src/node/tests/spreadworld.h
+++ b/src/node/tests/spreadworld.h
@@ -152,7 +152,7 @@
       , neighbours({ aRow.host, aRow.dataCentre, aRow.processors },
                    { aWorld.WorldClock(),
                      [this](const state::HostId& aHost) {
-                       return this->peers.HeardAt(aHost);
+                       return this->peers.LastHeardAt(aHost);
                      } })
       , tables(this->neighbours, this->peers, aReachable, aIsFirstStart,
                aWorld.HooksOf(aSelf))
@@ -245,7 +245,7 @@
   {
     Host& host = *this->hosts[aHost];
     Parts& parts = *host.parts;
-    for (const state::HostId& silent : parts.peers.TakeSilent()) {
+    for (const state::HostId& silent : parts.peers.TakeNewlySilent()) {
       host.reachable.erase(silent.value);
       this->hosts[this->IndexOf(silent.value)]->reachable.erase(host.name);
     }
@@ -261,7 +261,7 @@
   void ChooseTables(std::size_t aHost)
   {
     Parts& parts = *this->hosts[aHost]->parts;
-    std::vector<state::HostId> live = parts.peers.Live();
+    std::vector<state::HostId> live = parts.peers.LiveCellMembers();
     live.push_back({ this->hosts[aHost]->name });
     const bool isKnown = parts.registration.HasLooked() ||
                          parts.tables.Find(kHostTable).version > 0;
--- a/src/node/tests/tablereplicas_test.cpp
+++ b/src/node/tests/tablereplicas_test.cpp
@@ -1,6 +1,6 @@
 // Copies of the store's tables, and what peers say.
 
-#include "node/internal/peerduty.h"
+#include "node/internal/peers.h"
 #include "node/internal/tablereplicas.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -193,12 +193,12 @@
     digest.__set_leaving(true);
     peers.OnDigest(digest);
     CPPUNIT_ASSERT(!peers.All().at({ "h1" }).leaving);
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 3 }, peers.HeardOf({ { "h1" }, 5 }));
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 0 }, peers.HeardOf({ { "h1" }, 6 }));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 3 }, peers.LastDigestNumber({ { "h1" }, 5 }));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 0 }, peers.LastDigestNumber({ { "h1" }, 6 }));
     this->now += milliseconds(1500);
-    CPPUNIT_ASSERT(peers.Live().empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, peers.TakeSilent().size());
-    CPPUNIT_ASSERT(peers.TakeSilent().empty());
+    CPPUNIT_ASSERT(peers.LiveCellMembers().empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, peers.TakeNewlySilent().size());
+    CPPUNIT_ASSERT(peers.TakeNewlySilent().empty());
   }
 
 private:
