--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -124,13 +124,13 @@
     HostRow{ this->settings.host, this->settings.peerAddress,
              this->settings.dataCentre, this->settings.processors },
     this->settings.isFirstStart, this->RegistrationHooks());
-  this->store = std::make_unique<StoreDuty>(
+  this->store = std::make_unique<StoreClient>(
     this->storeThread, this->settings.storeAddress,
     IpOf(this->settings.peerAddress),
     std::vector<std::string>{ std::string(platform::kOperatorTable),
                               std::string(platform::kUpstreamTable),
                               kHostTable },
-    StoreDuty::Hooks{
+    StoreClient::Hooks{
       [this](TableUpdate aNews) {
         this->serving.Hand(
           [this, news = std::move(aNews)] { this->tables->OnUpdate(news); });
@@ -143,7 +143,7 @@
           this->keys->SetStoreWell(aWell);
         });
       },
-      [this](const TableReadEnd& aEnd) { this->OnTableReadEnded(aEnd); },
+      [this](const TableReadResult& aEnd) { this->OnTableReadEnded(aEnd); },
       [this](state::StoreCall aCall, const std::string& aTable) {
         this->OnStoreCall(aCall, aTable);
       } });
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -14,7 +14,7 @@
 #include "node/internal/peertopology.h"
 #include "node/internal/peers.h"
 #include "node/internal/registration.h"
-#include "node/internal/storeduty.h"
+#include "node/internal/storeclient.h"
 #include "node/internal/tablereplication.h"
 #include "protocol/errorcounters.h"
 #include "routing/dispatcher.h"
@@ -71,7 +71,7 @@
   void OnTableChanged(const std::string& aTable,
                       const std::vector<state::StoredRow>& aChanged,
                       std::chrono::milliseconds aGrace);
-  void OnTableReadEnded(const TableReadEnd& aEnd);
+  void OnTableReadEnded(const TableReadResult& aEnd);
   void OnStoreCall(state::StoreCall aCall, const std::string& aTable);
   void ApplyOperatorRows();
   void ApplyConfiguration(const state::StoredRow& aRow);
@@ -149,7 +149,7 @@
   std::atomic<bool> ready{ false };
   std::atomic<bool> stopping{ false };
 
-  std::unique_ptr<StoreDuty> store;
+  std::unique_ptr<StoreClient> store;
 };
 
 } // namespace kumquat::node
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -33,10 +33,10 @@
     this->store->Follow(aTables, aIsStandIn);
   };
   hooks.readFullTable = [this](const std::string& aTable) {
-    this->store->ReadAnew(aTable);
+    this->store->ReadFullTable(aTable);
   };
   hooks.storeReceivedAt = [this](const std::string& aTable) {
-    return this->store->HeardAt(aTable);
+    return this->store->LastReceivedAt(aTable);
   };
   hooks.rowsChanged = [this](const std::string& aTable,
                          const std::vector<state::StoredRow>& aChanged,
@@ -74,7 +74,7 @@
   }
 }
 
-void Gateway::Impl::OnTableReadEnded(const TableReadEnd& aEnd)
+void Gateway::Impl::OnTableReadEnded(const TableReadResult& aEnd)
 {
   const std::string outcome = aEnd.error ? aEnd.error.message() : "read";
   this->log.Write(
--- a/src/node/internal/storeduty.cpp
+++ b/src/node/internal/storeclient.cpp
@@ -1,6 +1,6 @@
 // Following of tables and calls to the store.
 
-#include "node/internal/storeduty.h"
+#include "node/internal/storeclient.h"
 
 #include "node/internal/clocks.h"
 #include "platform/store.h"
@@ -81,7 +81,7 @@
 
 } // namespace
 
-struct StoreDuty::Follower
+struct StoreClient::Follower
 {
   Follower(std::string aTable, boost::asio::io_context& aContext,
            const std::string& aAddress, const std::string& aLocalAddress,
@@ -138,7 +138,7 @@
 
 } // namespace
 
-StoreDuty::StoreDuty(transport::DutyThread& aThread,
+StoreClient::StoreClient(transport::DutyThread& aThread,
                      const std::string& aAddress,
                      const std::string& aLocalAddress,
                      std::vector<std::string> aTables, Hooks aHooks)
@@ -148,19 +148,19 @@
   , random(std::random_device{}())
   , longestPause(kLongestPause)
 {
-  this->store = StoreOver(this->client, aAddress, this->hooks.called);
+  this->store = StoreOver(this->client, aAddress, this->hooks.callStarted);
   std::ranges::transform(aTables, std::back_inserter(this->followers),
                          [&](const std::string& aTable) {
                            return std::make_shared<Follower>(
                              aTable, aThread.Context(), aAddress, aLocalAddress,
-                             this->hooks.called);
+                             this->hooks.callStarted);
                          });
   this->followers.front()->wait = kCanaryWait;
 }
 
-StoreDuty::~StoreDuty() = default;
+StoreClient::~StoreClient() = default;
 
-void StoreDuty::Follow(const std::map<std::string, state::Version>& aTables,
+void StoreClient::Follow(const std::map<std::string, state::Version>& aTables,
                        bool aWithCaution)
 {
   this->thread.Hand([this, aTables, aWithCaution] {
@@ -175,7 +175,7 @@
   });
 }
 
-void StoreDuty::SetFollowed(const std::shared_ptr<Follower>& aFollower,
+void StoreClient::SetFollowed(const std::shared_ptr<Follower>& aFollower,
                             bool aFollowed, state::Version aKnown)
 {
   if (std::exchange(aFollower->isFollowed, aFollowed) == aFollowed) {
@@ -197,7 +197,7 @@
   }
 }
 
-void StoreDuty::Begin(const std::shared_ptr<Follower>& aFollower)
+void StoreClient::Begin(const std::shared_ptr<Follower>& aFollower)
 {
   if (aFollower->version == 0) {
     this->ReadWhole(aFollower);
@@ -206,7 +206,7 @@
   }
 }
 
-void StoreDuty::ReadAnew(const std::string& aTable)
+void StoreClient::ReadFullTable(const std::string& aTable)
 {
   this->thread.Hand([this, aTable] {
     const auto follower = this->FollowerOf(aTable);
@@ -217,7 +217,7 @@
   });
 }
 
-std::shared_ptr<StoreDuty::Follower> StoreDuty::FollowerOf(
+std::shared_ptr<StoreClient::Follower> StoreClient::FollowerOf(
   const std::string& aTable) const
 {
   const auto found = std::ranges::find_if(
@@ -227,26 +227,26 @@
   return found == this->followers.end() ? nullptr : *found;
 }
 
-TimePoint StoreDuty::HeardAt(const std::string& aTable) const
+TimePoint StoreClient::LastReceivedAt(const std::string& aTable) const
 {
   const auto follower = this->FollowerOf(aTable);
   return follower ? follower->heardAt.load() : TimePoint{};
 }
 
-void StoreDuty::SetWell(bool aWell)
+void StoreClient::SetWell(bool aWell)
 {
   if (std::exchange(this->well, aWell) != aWell) {
-    this->hooks.well(aWell);
+    this->hooks.availabilityChanged(aWell);
   }
 }
 
-milliseconds StoreDuty::FirstPause() const
+milliseconds StoreClient::FirstPause() const
 {
   return this->longestPause == kCautiousPause ? kFirstCautiousPause
                                               : kFirstPause;
 }
 
-void StoreDuty::OnAnswer(const std::shared_ptr<Follower>& aFollower)
+void StoreClient::OnAnswer(const std::shared_ptr<Follower>& aFollower)
 {
   aFollower->pause = this->FirstPause();
   const TimePoint now = BootTime();
@@ -278,7 +278,7 @@
   }
 }
 
-void StoreDuty::ReadWhole(const std::shared_ptr<Follower>& aFollower)
+void StoreClient::ReadWhole(const std::shared_ptr<Follower>& aFollower)
 {
   const std::uint64_t generation = ++aFollower->generation;
   aFollower->isReading = true;
@@ -309,7 +309,7 @@
     });
 }
 
-void StoreDuty::Watch(const std::shared_ptr<Follower>& aFollower)
+void StoreClient::Watch(const std::shared_ptr<Follower>& aFollower)
 {
   if (!aFollower->isFollowed && !this->IsAwaitingReturn(aFollower)) {
     return;
@@ -342,27 +342,27 @@
 
 // Failure: a host that stopped following while the store did not answer it
 // never asked again, and took the store for away for good.
-bool StoreDuty::IsAwaitingReturn(
+bool StoreClient::IsAwaitingReturn(
   const std::shared_ptr<Follower>& aFollower) const
 {
   return !this->well && aFollower == this->followers.front();
 }
 
-milliseconds StoreDuty::SpreadWait(milliseconds aWait)
+milliseconds StoreClient::SpreadWait(milliseconds aWait)
 {
   std::uniform_real_distribution<double> share(kLeastWaitShare, 1.0);
   return std::chrono::duration_cast<milliseconds>(aWait * share(this->random));
 }
 
-void StoreDuty::Tell(const std::shared_ptr<Follower>& aFollower, bool aWhole,
+void StoreClient::Tell(const std::shared_ptr<Follower>& aFollower, bool aWhole,
                      std::vector<state::StoredRow> aRows)
 {
-  this->hooks.news({ aFollower->table, aWhole, std::move(aRows),
+  this->hooks.tableUpdated({ aFollower->table, aWhole, std::move(aRows),
                      aFollower->version, GraceOf(aFollower->returnedAt) });
   this->WatchLater(aFollower);
 }
 
-void StoreDuty::WatchLater(const std::shared_ptr<Follower>& aFollower)
+void StoreClient::WatchLater(const std::shared_ptr<Follower>& aFollower)
 {
   aFollower->timer.expires_after(kGather);
   aFollower->timer.async_wait(
@@ -373,7 +373,7 @@
     });
 }
 
-void StoreDuty::OnFailure(const std::shared_ptr<Follower>& aFollower,
+void StoreClient::OnFailure(const std::shared_ptr<Follower>& aFollower,
                           bool aWhole)
 {
   if (aFollower == this->followers.front()) {
--- a/src/node/internal/storeduty.h
+++ b/src/node/internal/storeclient.h
@@ -22,7 +22,7 @@
 
 namespace kumquat::node {
 
-struct TableReadEnd
+struct TableReadResult
 {
   std::string table;
   Duration took{ 0 };
@@ -31,27 +31,27 @@
   std::error_code error;
 };
 
-class StoreDuty
+class StoreClient
 {
 public:
   struct Hooks
   {
     // All on the store's thread.
-    std::function<void(TableUpdate)> news;
+    std::function<void(TableUpdate)> tableUpdated;
     // The store answers, or does not.
-    std::function<void(bool)> well;
+    std::function<void(bool)> availabilityChanged;
     // A whole read of a table ended.
-    std::function<void(const TableReadEnd&)> readEnded;
+    std::function<void(const TableReadResult&)> readEnded;
     // A call leaves, about the table.
-    std::function<void(state::StoreCall, const std::string&)> called;
+    std::function<void(state::StoreCall, const std::string&)> callStarted;
   };
 
-  StoreDuty(transport::DutyThread& aThread, const std::string& aAddress,
+  StoreClient(transport::DutyThread& aThread, const std::string& aAddress,
             const std::string& aLocalAddress, std::vector<std::string> aTables,
             Hooks aHooks);
-  ~StoreDuty();
-  StoreDuty(const StoreDuty&) = delete;
-  StoreDuty& operator=(const StoreDuty&) = delete;
+  ~StoreClient();
+  StoreClient(const StoreClient&) = delete;
+  StoreClient& operator=(const StoreClient&) = delete;
 
   // From any thread. The first table is the one by which the store is known to
   // be well.
@@ -64,9 +64,9 @@
               bool aWithCaution);
   // Reads the table whole, and follows it on that connection where it is
   // followed: peers know more of it, so the open one may have gone silent.
-  void ReadAnew(const std::string& aTable);
+  void ReadFullTable(const std::string& aTable);
   // When the last bytes of an answer about the table came; from any thread.
-  TimePoint HeardAt(const std::string& aTable) const;
+  TimePoint LastReceivedAt(const std::string& aTable) const;
 
   // On the store's thread.
   state::RowStore& Rows() { return *this->store; }
--- a/src/node/tests/storeduty_test.cpp
+++ b/src/node/tests/storeclient_test.cpp
@@ -1,7 +1,7 @@
 // Following the store's tables, against a store over loopback.
 
 #include "node/internal/clocks.h"
-#include "node/internal/storeduty.h"
+#include "node/internal/storeclient.h"
 #include "platform/tests/fakestoreserver.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -49,9 +49,9 @@
     this->thread.emplace(64);
     this->duty.emplace(
       *this->thread, kStore, "", std::vector<std::string>{ "op", "servers" },
-      StoreDuty::Hooks{ [this](const TableUpdate& aNews) { this->OnNews(aNews); },
+      StoreClient::Hooks{ [this](const TableUpdate& aNews) { this->OnNews(aNews); },
                         [this](bool aWell) { this->OnWell(aWell); },
-                        [](const TableReadEnd&) {},
+                        [](const TableReadResult&) {},
                         {} });
     this->thread->Start("store-duty");
   }
@@ -114,7 +114,7 @@
     this->FollowBoth();
     for (int i = 0; i < 6; ++i) {
       std::this_thread::sleep_for(milliseconds(400));
-      this->duty->ReadAnew("op");
+      this->duty->ReadFullTable("op");
     }
     this->AwaitRow("config", false);
     CPPUNIT_ASSERT_EQUAL(2, this->store->ReadCount());
@@ -140,7 +140,7 @@
     this->store->SetSlowReads(6, milliseconds(300));
     this->FollowBoth();
     std::this_thread::sleep_for(milliseconds(1200));
-    const Duration since = BootTime() - this->duty->HeardAt("op");
+    const Duration since = BootTime() - this->duty->LastReceivedAt("op");
     CPPUNIT_ASSERT(since < milliseconds(600));
   }
 
@@ -243,7 +243,7 @@
   bool well = true;
   std::optional<FakeStoreServer> store;
   std::optional<transport::DutyThread> thread;
-  std::optional<StoreDuty> duty;
+  std::optional<StoreClient> duty;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StoreDutyTest);
