--- a/src/node/tests/spreadworld.h
+++ b/src/node/tests/replicationsimulation.h
@@ -21,12 +21,12 @@
 
 namespace kumquat::node {
 
-class SpreadWorld
+class ReplicationSimulation
 {
 public:
   using milliseconds = std::chrono::milliseconds;
 
-  explicit SpreadWorld(int aHosts, int aCentres = 5)
+  explicit ReplicationSimulation(int aHosts, int aCentres = 5)
     : centres(aCentres)
   {
     for (int i = 0; i < aHosts; ++i) {
@@ -47,16 +47,16 @@
   void StartOne(std::size_t aHost) { this->Start(aHost, false); }
 
   // Without a word: its peers' connections stay open and silent.
-  void LosePower(std::size_t aHost)
+  void PowerOff(std::size_t aHost)
   {
     this->hosts[aHost]->isUp = false;
     ++this->hosts[aHost]->run;
   }
 
-  void LoseAllPower()
+  void PowerOffAll()
   {
     for (std::size_t i = 0; i < this->hosts.size(); ++i) {
-      this->LosePower(i);
+      this->PowerOff(i);
     }
     for (const auto& host : this->hosts) {
       host->reachable.clear();
@@ -75,19 +75,19 @@
     }
   }
 
-  void TurnAway(std::size_t aHost, bool aTurned)
+  void SetStoreRejects(std::size_t aHost, bool aTurned)
   {
     this->hosts[aHost]->isTurnedAway = aTurned;
   }
 
-  void TurnAllAway(bool aTurned)
+  void SetStoreRejectsAll(bool aTurned)
   {
     for (std::size_t i = 0; i < this->hosts.size(); ++i) {
-      this->TurnAway(i, aTurned);
+      this->SetStoreRejects(i, aTurned);
     }
   }
 
-  void Pass(milliseconds aTime)
+  void Advance(milliseconds aTime)
   {
     const TimePoint end = this->now + aTime;
     while (!this->events.empty() && this->events.begin()->first <= end) {
@@ -98,11 +98,11 @@
     this->now = end;
   }
 
-  int Calls() const { return this->calls; }
+  int StoreCalls() const { return this->calls; }
   std::size_t Size() const { return this->hosts.size(); }
 
   // Hosts that are up and lack the last change of the table.
-  int Behind(const std::string& aTable) const
+  int CountBehind(const std::string& aTable) const
   {
     const auto last = this->lastChange.find(aTable);
     return static_cast<int>(
@@ -125,7 +125,7 @@
   }
 
   // Runs when a follower gets news, before it can tell anyone.
-  std::function<void(std::size_t)> onNews;
+  std::function<void(std::size_t)> onStoreUpdate;
 
 private:
   static constexpr std::size_t kFirst = 64;
@@ -141,7 +141,7 @@
   // What a host has in memory, gone with its process.
   struct Parts
   {
-    Parts(const HostRow& aRow, SpreadWorld& aWorld, std::size_t aSelf,
+    Parts(const HostRow& aRow, ReplicationSimulation& aWorld, std::size_t aSelf,
           const std::set<std::string>& aReachable, bool aIsFirstStart)
       : peers({ aRow.host,
                 static_cast<state::Incarnation>(aWorld.hosts[aSelf]->run) },
@@ -538,8 +538,8 @@
 
   void Tell(std::size_t aHost, const TableUpdate& aNews)
   {
-    if (this->onNews) {
-      this->onNews(aHost);
+    if (this->onStoreUpdate) {
+      this->onStoreUpdate(aHost);
     }
     Host& host = *this->hosts[aHost];
     if (!host.isUp) {
--- a/src/node/tests/tablereplication_test.cpp
+++ b/src/node/tests/tablereplication_test.cpp
@@ -1,7 +1,7 @@
 // How changes of the store's tables get round, and what that costs in calls to
 // the store, at the sizes that the deployments have.
 
-#include "node/tests/spreadworld.h"
+#include "node/tests/replicationsimulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -47,41 +47,41 @@
   // Some 4,300 calls of 295 hosts before there was anything to serve.
   void testFirstStartOfManyCostsTwoCallsAHost()
   {
-    SpreadWorld world(300);
+    ReplicationSimulation world(300);
     StartFirst(world);
-    CPPUNIT_ASSERT(world.Calls() < 2 * 300 + 150);
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kHostTable));
+    CPPUNIT_ASSERT(world.StoreCalls() < 2 * 300 + 150);
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kHostTable));
   }
 
   // The first rows of hosts, and the large table, which hubs would take long to
   // give to all.
   void testStartAfterALossOfAllPowerCostsTwoCallsAHost()
   {
-    SpreadWorld world(300);
+    ReplicationSimulation world(300);
     StartFirst(world);
-    world.LoseAllPower();
-    world.Pass(milliseconds(500));
-    const int before = world.Calls();
+    world.PowerOffAll();
+    world.Advance(milliseconds(500));
+    const int before = world.StoreCalls();
     world.StartAll(false);
-    world.Pass(seconds(1));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kOperators));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
-    world.Pass(seconds(4));
-    CPPUNIT_ASSERT(world.Calls() - before < 2 * 300 + 100);
+    world.Advance(seconds(1));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kOperators));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
+    world.Advance(seconds(4));
+    CPPUNIT_ASSERT(world.StoreCalls() - before < 2 * 300 + 100);
   }
 
   // Half a second passed until a hub's next digest had named the configuration.
   void testHostsThatWereKilledAtOnceServeAtOnce()
   {
-    SpreadWorld world(300);
+    ReplicationSimulation world(300);
     StartFirst(world);
-    world.LoseAllPower();
-    world.Pass(milliseconds(500));
+    world.PowerOffAll();
+    world.Advance(milliseconds(500));
     world.StartAll(false, 10);
-    world.Pass(milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kOperators));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+    world.Advance(milliseconds(100));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kOperators));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
   }
 
   // Two readers a cell made 30 calls a second of 295 hosts.
@@ -89,16 +89,16 @@
   {
     std::vector<int> calls;
     for (const int hosts : { 30, 100, 300 }) {
-      SpreadWorld world(hosts);
+      ReplicationSimulation world(hosts);
       StartFirst(world);
-      world.Pass(seconds(5));
-      const int before = world.Calls();
+      world.Advance(seconds(5));
+      const int before = world.StoreCalls();
       for (int i = 0; i < 20; ++i) {
         world.Put(kUpstreams, "changed-" + std::to_string(i));
-        world.Pass(seconds(3));
-        CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+        world.Advance(seconds(3));
+        CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
       }
-      calls.push_back(world.Calls() - before);
+      calls.push_back(world.StoreCalls() - before);
     }
     CPPUNIT_ASSERT(calls[0] < 200);
     CPPUNIT_ASSERT(std::abs(calls[2] - calls[0]) <= 12);
@@ -109,113 +109,113 @@
   // and asked for three tables: 6,500 calls of 295 hosts in eight seconds.
   void testOutageForAllCostsFewCalls()
   {
-    SpreadWorld world(300);
+    ReplicationSimulation world(300);
     StartFirst(world);
-    const int before = world.Calls();
-    world.TurnAllAway(true);
-    world.Pass(seconds(8));
+    const int before = world.StoreCalls();
+    world.SetStoreRejectsAll(true);
+    world.Advance(seconds(8));
     world.Put(kUpstreams, "leaves");
-    world.TurnAllAway(false);
-    world.Pass(kGranted);
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
-    CPPUNIT_ASSERT(world.Calls() - before < 600);
+    world.SetStoreRejectsAll(false);
+    world.Advance(kGranted);
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
+    CPPUNIT_ASSERT(world.StoreCalls() - before < 600);
   }
 
   void testChangeReachesAllAtOnce()
   {
-    SpreadWorld world(kHosts);
+    ReplicationSimulation world(kHosts);
     StartFirst(world);
     world.Put(kUpstreams, "leaves");
-    world.Pass(milliseconds(300));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+    world.Advance(milliseconds(300));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
   }
 
   void testAllReadersDieAsAChangeComes()
   {
-    SpreadWorld world(kHosts);
+    ReplicationSimulation world(kHosts);
     StartFirst(world);
     for (const std::size_t follower : world.Followers()) {
-      world.LosePower(follower);
+      world.PowerOff(follower);
     }
     world.Put(kUpstreams, "leaves");
-    world.Pass(kGranted);
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+    world.Advance(kGranted);
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
   }
 
   // With them two of the three hubs, and all that would stand in for them.
   void testAllHostsOfTwoDataCentresDieAsAChangeComes()
   {
-    SpreadWorld world(kHosts);
+    ReplicationSimulation world(kHosts);
     StartFirst(world);
     for (std::size_t i = 0; i < world.Size(); ++i) {
       if (i % 5 < 2) {
-        world.LosePower(i);
+        world.PowerOff(i);
       }
     }
     world.Put(kOperators, "config");
-    world.Pass(kGranted);
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kOperators));
+    world.Advance(kGranted);
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kOperators));
   }
 
   void testReaderHearsOfAChangeAndStopsBeforeItTells()
   {
-    SpreadWorld world(kHosts);
+    ReplicationSimulation world(kHosts);
     StartFirst(world);
     int heard = 0;
-    world.onNews = [&](std::size_t aHost) {
+    world.onStoreUpdate = [&](std::size_t aHost) {
       // The last reader alone tells.
       if (++heard < 3) {
-        world.LosePower(aHost);
+        world.PowerOff(aHost);
       }
     };
     world.Put(kUpstreams, "leaves");
-    world.Pass(kGranted);
+    world.Advance(kGranted);
     CPPUNIT_ASSERT(heard >= 3);
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
   }
 
   // It serves all others.
   void testStoreTurnsTheReadersAway()
   {
-    SpreadWorld world(kHosts);
+    ReplicationSimulation world(kHosts);
     StartFirst(world);
     for (const std::size_t follower : world.Followers()) {
-      world.TurnAway(follower, true);
+      world.SetStoreRejects(follower, true);
     }
-    world.Pass(seconds(5));
+    world.Advance(seconds(5));
     world.Put(kUpstreams, "leaves");
-    world.Pass(kGranted);
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+    world.Advance(kGranted);
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
   }
 
   // It has all tables from peers that dial it.
   void testHostThatTheStoreTurnsAwayStarts()
   {
-    SpreadWorld world(kHosts);
+    ReplicationSimulation world(kHosts);
     StartFirst(world);
     constexpr std::size_t kHost = 77;
-    world.LosePower(kHost);
-    world.Pass(seconds(2));
-    world.TurnAway(kHost, true);
+    world.PowerOff(kHost);
+    world.Advance(seconds(2));
+    world.SetStoreRejects(kHost, true);
     world.StartOne(kHost);
-    world.Pass(milliseconds(2500));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kOperators));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+    world.Advance(milliseconds(2500));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kOperators));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
   }
 
   void testHostOfFewFollowsTheStoreItself()
   {
-    SpreadWorld world(12, 3);
+    ReplicationSimulation world(12, 3);
     StartFirst(world);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 12 }, world.Followers().size());
     world.Put(kUpstreams, "leaves");
-    world.Pass(milliseconds(300));
-    CPPUNIT_ASSERT_EQUAL(0, world.Behind(kUpstreams));
+    world.Advance(milliseconds(300));
+    CPPUNIT_ASSERT_EQUAL(0, world.CountBehind(kUpstreams));
   }
 
 private:
   // Upstreams enter themselves meanwhile.
-  static void StartFirst(SpreadWorld& aWorld)
+  static void StartFirst(ReplicationSimulation& aWorld)
   {
     constexpr int kSteps = 30;
     constexpr int kEachStep = 24;
@@ -223,11 +223,11 @@
     for (int i = 0; i < kSteps * kEachStep; ++i) {
       aWorld.Put(kUpstreams, "upstream-" + std::to_string(i));
       if (i % kEachStep == 0) {
-        aWorld.Pass(milliseconds(100));
+        aWorld.Advance(milliseconds(100));
       }
     }
     aWorld.Put(kOperators, "config", 4000);
-    aWorld.Pass(seconds(4));
+    aWorld.Advance(seconds(4));
   }
 };
 
