--- a/src/node/internal/catchup.cpp
+++ b/src/node/internal/catchup.cpp
@@ -87,10 +87,12 @@
   // Large rows are not passed on, so that nothing is under way to a host that
   // does not follow. Small ones are had from a peer with fewer bytes.
   const bool isNotPassedOn = aSituation.isLarge && !aSituation.isFollowing;
-  const Duration ofSmall =
-    aSituation.hasNoReplica && !aSituation.isFollowing ? kFirstCopies : kOwnWayIsSilent;
+  const Duration ofSmall = aSituation.hasNoReplica && !aSituation.isFollowing
+                             ? kFirstCopies
+                             : kOwnWayIsSilent;
   const Duration patience = isNotPassedOn ? milliseconds(0) : ofSmall;
-  const bool isArriving = aSituation.isFollowing && this->IsArriving(aSituation);
+  const bool isArriving =
+    aSituation.isFollowing && this->IsArriving(aSituation);
   if (!aSituation.isStoreAvailable || this->storeOwes || isArriving ||
       aBehind < patience || this->clock() < this->storeDue) {
     return false;
@@ -106,7 +108,8 @@
   const bool hasOwnWay = aSituation.isStoreAvailable && aSituation.isFollowing;
   const Duration ofOwnWay =
     aSituation.isLarge ? kOwnWayIsSilent : kFollowerHasNews;
-  const Duration ofNews = aSituation.hasNoReplica ? milliseconds(0) : kNewsUnderWay;
+  const Duration ofNews =
+    aSituation.hasNoReplica ? milliseconds(0) : kNewsUnderWay;
   const Duration patience = hasOwnWay ? ofOwnWay : ofNews;
   const Duration sinceAsked = this->clock() - this->peerAskedAt;
   const Duration pause = !this->peerOwes      ? kPeerAgain
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -104,9 +104,9 @@
   const bool isKnown = this->registration->HasLooked() ||
                        this->tables->Find(kHostTable).version > 0;
   this->tables->SetHostListState(isKnown ? HostListState::kKnown
-                            : this->registration->HasFailed()
-                              ? HostListState::kUnavailable
-                              : HostListState::kUnknown);
+                                 : this->registration->HasFailed()
+                                   ? HostListState::kUnavailable
+                                   : HostListState::kUnknown);
   this->tables->OnTimer(aLiveMates);
 }
 
@@ -147,7 +147,8 @@
     assigners.insert(this->claimant);
   }
   this->neighbours.SetAssigners(std::move(assigners));
-  const PeerTopology::ConnectionChanges dials = this->neighbours.TakeConnectionChanges();
+  const PeerTopology::ConnectionChanges dials =
+    this->neighbours.TakeConnectionChanges();
   for (const auto& [host, address] : dials.toOpen) {
     this->network->SetAddress(host.value, address);
   }
@@ -285,8 +286,9 @@
 
 void Gateway::Impl::SendDigests()
 {
-  const PeerTopology::DigestRecipients due = this->neighbours.TakeDigestRecipients(
-    this->reachable, this->dispatcher->LoadChangeCount());
+  const PeerTopology::DigestRecipients due =
+    this->neighbours.TakeDigestRecipients(this->reachable,
+                                          this->dispatcher->LoadChangeCount());
   this->keys->OnUses(this->keys->TakeUses(this->self.host));
   if (due.full.empty() && due.brief.empty()) {
     return;
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -39,8 +39,8 @@
     return this->store->LastReceivedAt(aTable);
   };
   hooks.rowsChanged = [this](const std::string& aTable,
-                         const std::vector<state::StoredRow>& aChanged,
-                         milliseconds aGrace) {
+                             const std::vector<state::StoredRow>& aChanged,
+                             milliseconds aGrace) {
     this->OnTableChanged(aTable, aChanged, aGrace);
   };
   hooks.isSettled = [this](const std::string& aTable) {
--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keysduty.cpp
@@ -341,7 +341,8 @@
   for (const auto& [service, part] : this->parts) {
     if (part.map.CurrentVersion().assignmentVersion > 0) {
       protocol::KeyMapMark mark = ToWire(service, part.map.CurrentVersion());
-      mark.__set_heard(this->peers.LastDigestNumber(part.map.CurrentVersion().assigner));
+      mark.__set_heard(
+        this->peers.LastDigestNumber(part.map.CurrentVersion().assigner));
       marks.push_back(std::move(mark));
     }
   }
--- a/src/node/internal/peers.cpp
+++ b/src/node/internal/peers.cpp
@@ -106,7 +106,9 @@
 {
   std::vector<ownership::PeerStatus> views;
   for (const auto& [id, peer] : this->peers) {
-    ownership::PeerStatus view{ peer.host, peer.lastHeardAt, peer.leaving, {}, {} };
+    ownership::PeerStatus view{
+      peer.host, peer.lastHeardAt, peer.leaving, {}, {}
+    };
     const auto said = peer.mapConfirmedAt.find(aService);
     if (said != peer.mapConfirmedAt.end()) {
       view.mapConfirmedAt = said->second;
--- a/src/node/internal/peertopology.cpp
+++ b/src/node/internal/peertopology.cpp
@@ -240,8 +240,8 @@
          since >= (divided ? kLongestInCell : kLongestPause);
 }
 
-PeerTopology::DigestRecipients PeerTopology::TakeDigestRecipients(const std::set<std::string>& aReachable,
-                                    std::int64_t aChanges)
+PeerTopology::DigestRecipients PeerTopology::TakeDigestRecipients(
+  const std::set<std::string>& aReachable, std::int64_t aChanges)
 {
   DigestRecipients due;
   const TimePoint now = this->hooks.now();
--- a/src/node/internal/peertopology.h
+++ b/src/node/internal/peertopology.h
@@ -89,7 +89,8 @@
   void RequestImmediateDigest() { this->hurries = true; }
   // Whom a digest goes to now. aChanges are sends and ends at upstreams since
   // the start.
-  DigestRecipients TakeDigestRecipients(const std::set<std::string>& aReachable, std::int64_t aChanges);
+  DigestRecipients TakeDigestRecipients(const std::set<std::string>& aReachable,
+                                        std::int64_t aChanges);
 
 private:
   bool IsGone(const state::HostId& aHost) const;
--- a/src/node/internal/storeclient.cpp
+++ b/src/node/internal/storeclient.cpp
@@ -139,9 +139,9 @@
 } // namespace
 
 StoreClient::StoreClient(transport::DutyThread& aThread,
-                     const std::string& aAddress,
-                     const std::string& aLocalAddress,
-                     std::vector<std::string> aTables, Hooks aHooks)
+                         const std::string& aAddress,
+                         const std::string& aLocalAddress,
+                         std::vector<std::string> aTables, Hooks aHooks)
   : thread(aThread)
   , hooks(std::move(aHooks))
   , client(aThread.Context(), ClientOptions(aLocalAddress))
@@ -161,7 +161,7 @@
 StoreClient::~StoreClient() = default;
 
 void StoreClient::Follow(const std::map<std::string, state::Version>& aTables,
-                       bool aWithCaution)
+                         bool aWithCaution)
 {
   this->thread.Hand([this, aTables, aWithCaution] {
     this->longestPause = aWithCaution ? kCautiousPause : kLongestPause;
@@ -176,7 +176,7 @@
 }
 
 void StoreClient::SetFollowed(const std::shared_ptr<Follower>& aFollower,
-                            bool aFollowed, state::Version aKnown)
+                              bool aFollowed, state::Version aKnown)
 {
   if (std::exchange(aFollower->isFollowed, aFollowed) == aFollowed) {
     return;
@@ -355,10 +355,11 @@
 }
 
 void StoreClient::Tell(const std::shared_ptr<Follower>& aFollower, bool aWhole,
-                     std::vector<state::StoredRow> aRows)
+                       std::vector<state::StoredRow> aRows)
 {
   this->hooks.tableUpdated({ aFollower->table, aWhole, std::move(aRows),
-                     aFollower->version, GraceOf(aFollower->returnedAt) });
+                             aFollower->version,
+                             GraceOf(aFollower->returnedAt) });
   this->WatchLater(aFollower);
 }
 
@@ -374,7 +375,7 @@
 }
 
 void StoreClient::OnFailure(const std::shared_ptr<Follower>& aFollower,
-                          bool aWhole)
+                            bool aWhole)
 {
   if (aFollower == this->followers.front()) {
     this->SetWell(false);
--- a/src/node/internal/storeclient.h
+++ b/src/node/internal/storeclient.h
@@ -47,8 +47,8 @@
   };
 
   StoreClient(transport::DutyThread& aThread, const std::string& aAddress,
-            const std::string& aLocalAddress, std::vector<std::string> aTables,
-            Hooks aHooks);
+              const std::string& aLocalAddress,
+              std::vector<std::string> aTables, Hooks aHooks);
   ~StoreClient();
   StoreClient(const StoreClient&) = delete;
   StoreClient& operator=(const StoreClient&) = delete;
--- a/src/node/internal/tablereplicas.cpp
+++ b/src/node/internal/tablereplicas.cpp
@@ -92,7 +92,8 @@
     copy.lastChange = std::max(copy.lastChange, last);
   }
   while (copy.tombstones.size() > kMostRemoved) {
-    copy.tombstonesAfter = std::max(copy.tombstonesAfter, copy.tombstones.front().version);
+    copy.tombstonesAfter =
+      std::max(copy.tombstonesAfter, copy.tombstones.front().version);
     copy.tombstones.pop_front();
   }
   return changed;
--- a/src/node/internal/tablereplication.cpp
+++ b/src/node/internal/tablereplication.cpp
@@ -46,7 +46,7 @@
 }
 
 TableUpdate NewsOf(const std::string& aTable,
-                 const std::vector<protocol::TableRow>& aRows)
+                   const std::vector<protocol::TableRow>& aRows)
 {
   TableUpdate news;
   news.table = aTable;
@@ -59,9 +59,10 @@
 
 } // namespace
 
-TableReplication::TableReplication(PeerTopology& aNeighbours, const Peers& aPeers,
-                         const std::set<std::string>& aReachable,
-                         bool aIsFirstStart, Hooks aHooks)
+TableReplication::TableReplication(PeerTopology& aNeighbours,
+                                   const Peers& aPeers,
+                                   const std::set<std::string>& aReachable,
+                                   bool aIsFirstStart, Hooks aHooks)
   : neighbours(aNeighbours)
   , peers(aPeers)
   , reachable(aReachable)
@@ -92,7 +93,8 @@
   const std::vector<state::StoredRow> changed =
     this->tables.Apply(aNews.table, aNews.rows, aNews.isFull, aNews.version);
   const auto behind =
-    this->CatchUpOf(aNews.table).OnVersionReached(this->tables.Find(aNews.table).version);
+    this->CatchUpOf(aNews.table)
+      .OnVersionReached(this->tables.Find(aNews.table).version);
   if (behind) {
     this->hooks.caughtUp(aNews.table, *behind);
   }
@@ -201,7 +203,7 @@
 }
 
 void TableReplication::OnQuery(const std::string& aFrom,
-                          const protocol::TableQuery& aQuery)
+                               const protocol::TableQuery& aQuery)
 {
   const TableReplica& copy = this->tables.Find(aQuery.table);
   const auto changes = aQuery.after > 0
@@ -235,7 +237,7 @@
 // --- what is missing
 
 bool TableReplication::IsAhead(const KnownPeer& aPeer,
-                          const std::string& aTable) const
+                               const std::string& aTable) const
 {
   return NamedBy(aPeer, aTable) > this->tables.Find(aTable).version;
 }
@@ -286,7 +288,8 @@
   }
 }
 
-void TableReplication::AskPeer(const state::HostId& aPeer, const std::string& aTable)
+void TableReplication::AskPeer(const state::HostId& aPeer,
+                               const std::string& aTable)
 {
   protocol::Frame frame;
   protocol::TableQuery query;
@@ -312,13 +315,14 @@
   return found != this->peers.All().end() && found->second.reachesStore;
 }
 
-void TableReplication::ChooseFollowed(const std::vector<state::HostId>& aLiveMates)
+void TableReplication::ChooseFollowed(
+  const std::vector<state::HostId>& aLiveMates)
 {
-  const bool isReader =
-    this->standing == HostListState::kKnown &&
-    this->neighbours.ShouldFollowTables(aLiveMates, [this](const state::HostId& aHost) {
-      return this->ReachesStore(aHost);
-    });
+  const bool isReader = this->standing == HostListState::kKnown &&
+                        this->neighbours.ShouldFollowTables(
+                          aLiveMates, [this](const state::HostId& aHost) {
+                            return this->ReachesStore(aHost);
+                          });
   std::set<std::string> wanted;
   if (isReader || this->standing == HostListState::kUnavailable) {
     wanted.insert(SpreadTables().begin(), SpreadTables().end());
--- a/src/node/internal/tablereplication.h
+++ b/src/node/internal/tablereplication.h
@@ -15,8 +15,8 @@
 
 #include "framework/clock.h"
 #include "node/internal/catchup.h"
-#include "node/internal/peertopology.h"
 #include "node/internal/peers.h"
+#include "node/internal/peertopology.h"
 #include "node/internal/tablereplicas.h"
 #include "protocol/gen/peer_types.h"
 #include "state/types.h"
@@ -77,8 +77,8 @@
   // All outlive this.
   // aIsFirstStart: of all hosts; see Registration.
   TableReplication(PeerTopology& aNeighbours, const Peers& aPeers,
-              const std::set<std::string>& aReachable, bool aIsFirstStart,
-              Hooks aHooks);
+                   const std::set<std::string>& aReachable, bool aIsFirstStart,
+                   Hooks aHooks);
 
   const TableReplica& Find(const std::string& aTable) const
   {
--- a/src/node/tests/catchup_test.cpp
+++ b/src/node/tests/catchup_test.cpp
@@ -156,7 +156,10 @@
   }
 
 private:
-  CatchUp::Requests Next() { return this->catchUp.TakeRequests(this->situation); }
+  CatchUp::Requests Next()
+  {
+    return this->catchUp.TakeRequests(this->situation);
+  }
 
   // Looks each tick, as the host does.
   Duration TimeUntilPeer()
--- a/src/node/tests/peertopology_test.cpp
+++ b/src/node/tests/peertopology_test.cpp
@@ -68,8 +68,7 @@
     PeerTopology neighbours = this->Make(0, 60, 5);
     neighbours.TakeConnectionChanges();
     const auto due = neighbours.TakeDigestRecipients(Names(60), 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 60 },
-                         due.full.size() + due.brief.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 60 }, due.full.size() + due.brief.size());
     CPPUNIT_ASSERT(neighbours.DutyPreference({ "host-0" }) >
                    neighbours.DutyPreference({ "host-1" }));
   }
@@ -113,7 +112,8 @@
         this->now += milliseconds(1500);
         const std::set<state::HostId>& mates = first.Cells().Members();
         const bool isHub = neighbours.DutyPreference(mate) > 1;
-        if (!isHub && neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
+        if (!isHub &&
+            neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
                                           [&](const state::HostId& aHost) {
                                             return !turnedAway.contains(aHost);
                                           })) {
@@ -141,12 +141,13 @@
         neighbours.TakeConnectionChanges();
         this->HearAll();
         const std::set<state::HostId>& mates = neighbours.Cells().Members();
-        count += neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
-                                     [&](const state::HostId& aHost) {
-                                       return !turnedAway.contains(aHost);
-                                     })
-                   ? 1
-                   : 0;
+        count +=
+          neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
+                                        [&](const state::HostId& aHost) {
+                                          return !turnedAway.contains(aHost);
+                                        })
+            ? 1
+            : 0;
       }
       return count;
     };
@@ -174,7 +175,8 @@
       PeerTopology neighbours = this->Make(number, 60);
       neighbours.TakeConnectionChanges();
       for (const std::string& name : Names(60)) {
-        told[name] += name != hub && neighbours.ForwardsChangesTo({ name }) ? 1 : 0;
+        told[name] +=
+          name != hub && neighbours.ForwardsChangesTo({ name }) ? 1 : 0;
       }
     }
     for (const auto& [name, times] : told) {
--- a/src/node/tests/replicationsimulation.h
+++ b/src/node/tests/replicationsimulation.h
@@ -266,9 +266,9 @@
     const bool isKnown = parts.registration.HasLooked() ||
                          parts.tables.Find(kHostTable).version > 0;
     parts.tables.SetHostListState(isKnown ? HostListState::kKnown
-                             : parts.registration.HasFailed()
-                               ? HostListState::kUnavailable
-                               : HostListState::kUnknown);
+                                  : parts.registration.HasFailed()
+                                    ? HostListState::kUnavailable
+                                    : HostListState::kUnknown);
     parts.tables.OnTimer(live);
   }
 
@@ -276,7 +276,8 @@
   {
     Host& host = *this->hosts[aHost];
     host.dialledAt = this->now;
-    for (const auto& [id, address] : host.parts->neighbours.TakeConnectionChanges().toOpen) {
+    for (const auto& [id, address] :
+         host.parts->neighbours.TakeConnectionChanges().toOpen) {
       this->After(kTrip, [this, aHost, to = this->IndexOf(id.value)] {
         Host& one = *this->hosts[aHost];
         Host& other = *this->hosts[to];
@@ -296,7 +297,8 @@
   {
     Host& host = *this->hosts[aHost];
     Parts& parts = *host.parts;
-    const PeerTopology::DigestRecipients due = parts.neighbours.TakeDigestRecipients(host.reachable, 0);
+    const PeerTopology::DigestRecipients due =
+      parts.neighbours.TakeDigestRecipients(host.reachable, 0);
     std::vector<std::string> told = due.full;
     told.insert(told.end(), due.brief.begin(), due.brief.end());
     if (told.empty()) {
@@ -362,8 +364,8 @@
     };
     hooks.storeReceivedAt = [this](const std::string&) { return this->now; };
     hooks.rowsChanged = [this, aHost](const std::string& aTable,
-                                  const std::vector<state::StoredRow>&,
-                                  milliseconds) {
+                                      const std::vector<state::StoredRow>&,
+                                      milliseconds) {
       if (aTable == kHostTable) {
         const TableReplica& copy =
           this->hosts[aHost]->parts->tables.Find(kHostTable);
--- a/src/node/tests/storeclient_test.cpp
+++ b/src/node/tests/storeclient_test.cpp
@@ -49,10 +49,11 @@
     this->thread.emplace(64);
     this->duty.emplace(
       *this->thread, kStore, "", std::vector<std::string>{ "op", "servers" },
-      StoreClient::Hooks{ [this](const TableUpdate& aNews) { this->OnNews(aNews); },
-                        [this](bool aWell) { this->OnWell(aWell); },
-                        [](const TableReadResult&) {},
-                        {} });
+      StoreClient::Hooks{
+        [this](const TableUpdate& aNews) { this->OnNews(aNews); },
+        [this](bool aWell) { this->OnWell(aWell); },
+        [](const TableReadResult&) {},
+        {} });
     this->thread->Start("store-duty");
   }
 
--- a/src/node/tests/tablereplicas_test.cpp
+++ b/src/node/tests/tablereplicas_test.cpp
@@ -193,8 +193,10 @@
     digest.__set_leaving(true);
     peers.OnDigest(digest);
     CPPUNIT_ASSERT(!peers.All().at({ "h1" }).leaving);
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 3 }, peers.LastDigestNumber({ { "h1" }, 5 }));
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 0 }, peers.LastDigestNumber({ { "h1" }, 6 }));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 3 },
+                         peers.LastDigestNumber({ { "h1" }, 5 }));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{ 0 },
+                         peers.LastDigestNumber({ { "h1" }, 6 }));
     this->now += milliseconds(1500);
     CPPUNIT_ASSERT(peers.LiveCellMembers().empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, peers.TakeNewlySilent().size());
