--- a/src/node/internal/callers.cpp
+++ b/src/node/internal/callerhttp.cpp
@@ -1,6 +1,6 @@
 // Callers' headers, and the answers in JSON.
 
-#include "node/callers.h"
+#include "node/callerhttp.h"
 
 #include <boost/beast/core/string.hpp>
 #include <nlohmann/json.hpp>
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -10,7 +10,7 @@
 #include "framework/events.h"
 #include "framework/metrics.h"
 #include "node/gateway.h"
-#include "node/internal/keysduty.h"
+#include "node/internal/keyedservices.h"
 #include "node/internal/peers.h"
 #include "node/internal/peertopology.h"
 #include "node/internal/registration.h"
--- a/src/node/internal/keysduty.cpp
+++ b/src/node/internal/keyedservices.cpp
@@ -1,6 +1,6 @@
 // Rows, orders and maps of keyed services.
 
-#include "node/internal/keysduty.h"
+#include "node/internal/keyedservices.h"
 
 #include "protocol/errorkind.h"
 
--- a/src/node/internal/corehooks.cpp
+++ b/src/node/internal/nodehooks.cpp
@@ -1,7 +1,7 @@
 // What the core reaches the outside by: each hook hands work to the duty whose
 // thread does it, and brings the answer back to coordination's.
 
-#include "node/callers.h"
+#include "node/callerhttp.h"
 #include "node/internal/clocks.h"
 #include "node/internal/nodeimpl.h"
 
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -2,9 +2,9 @@
 
 #include "node/internal/nodeimpl.h"
 
-#include "node/callers.h"
+#include "node/callerhttp.h"
 #include "node/internal/clocks.h"
-#include "node/internal/listening.h"
+#include "node/internal/listenerhelpers.h"
 
 #include <algorithm>
 #include <thread>
--- a/src/node/tests/keysduty_test.cpp
+++ b/src/node/tests/keyedservices_test.cpp
@@ -1,6 +1,6 @@
 // Whose keys a host knows before it has heard any assigner.
 
-#include "node/internal/keysduty.h"
+#include "node/internal/keyedservices.h"
 
 #include "protocol/errorkind.h"
 
