--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -110,7 +110,7 @@
   this->upstreamClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
   this->keys =
-    std::make_unique<Keys>(this->self, this->settings.maxLease, this->upstreams,
+    std::make_unique<KeyedServices>(this->self, this->settings.maxLease, this->upstreams,
                            this->peers, this->KeysHooks());
   this->dispatcher = std::make_unique<routing::Dispatcher>(
     routing::DispatcherOptions{ this->settings.host, this->settings.dataCentre,
@@ -140,7 +140,7 @@
           this->isStoreWell = aWell;
           this->tables->SetStoreAvailable(aWell);
           this->log.Write(aWell ? Event::kStoreBack : Event::kStoreDown);
-          this->keys->SetStoreWell(aWell);
+          this->keys->SetStoreAvailable(aWell);
         });
       },
       [this](const TableReadResult& aEnd) { this->OnTableReadEnded(aEnd); },
@@ -253,7 +253,7 @@
   };
   hooks.findOwner = [this](const state::ServiceName& aService,
                            routing::Key aKey) {
-    const ownership::KeyMap* map = this->keys->MapOf(aService);
+    const ownership::KeyMap* map = this->keys->FindMap(aService);
     if (map == nullptr) {
       return routing::KeyOwner{};
     }
@@ -263,7 +263,7 @@
   };
   hooks.reportNotOwner = [this](const state::ServiceName& aService,
                                 routing::Key aKey, const state::UpstreamId&) {
-    if (ownership::KeyMap* map = this->keys->MapOf(aService)) {
+    if (ownership::KeyMap* map = this->keys->FindMap(aService)) {
       map->OnNotOwner(aKey, BootTime());
     }
   };
@@ -274,9 +274,9 @@
   return hooks;
 }
 
-Keys::Hooks Gateway::Impl::KeysHooks()
+KeyedServices::Hooks Gateway::Impl::KeysHooks()
 {
-  Keys::Hooks hooks;
+  KeyedServices::Hooks hooks;
   hooks.now = BootTime;
   hooks.read = [this](const std::string& aTable, const std::string& aPart,
                       state::RowStore::ReadDone aDone) {
@@ -293,24 +293,24 @@
                        state::RowStore::WriteDone aDone) {
     this->WriteRows(aWrite, std::move(aDone));
   };
-  hooks.order = [this](const ownership::LeaseCommand& aOrder,
+  hooks.sendCommand = [this](const ownership::LeaseCommand& aOrder,
                        ownership::Assigner::CommandDone aDone) {
     this->SendOrder(aOrder, std::move(aDone));
   };
   hooks.preference = [this](const state::HostId& aHost) {
     return this->neighbours.DutyPreference(aHost);
   };
-  hooks.meet = [this](const state::HostRef& aClaimant) {
+  hooks.requestConnection = [this](const state::HostRef& aClaimant) {
     this->claimant = aClaimant.host;
     this->Dial();
   };
-  hooks.asksStore = [this] { return this->tables->IsFollowing(); };
-  hooks.publish = [this] {
+  hooks.followsStore = [this] { return this->tables->IsFollowing(); };
+  hooks.publishMaps = [this] {
     if (!this->neighbours.Cells().IsDivided()) {
       this->SendKeyMaps();
     }
   };
-  hooks.changed = [this] {
+  hooks.ownersChanged = [this] {
     this->dispatcher->RecheckWaitingRequests();
     this->ArmDispatcher();
   };
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -57,7 +57,7 @@
   std::error_code ListenForChecks();
   std::error_code ListenForMetrics();
   routing::Dispatcher::Hooks DispatcherHooks();
-  Keys::Hooks KeysHooks();
+  KeyedServices::Hooks KeysHooks();
 
   // Serving thread.
   void OnCaller(transport::HttpRequest&& aRequest,
@@ -117,7 +117,7 @@
   routing::Upstreams upstreams;
   Peers peers;
   PeerTopology neighbours;
-  std::unique_ptr<Keys> keys;
+  std::unique_ptr<KeyedServices> keys;
   std::unique_ptr<routing::Dispatcher> dispatcher;
   std::shared_ptr<const routing::RouteTable> routes;
   // Peers with a connection.
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -165,7 +165,7 @@
   if (aFrame.__isset.hostDigest) {
     this->OnDigest(aFrame.hostDigest);
   } else if (aFrame.__isset.keyMapUpdate) {
-    this->keys->OnUpdate(aFrame.keyMapUpdate);
+    this->keys->OnMapUpdate(aFrame.keyMapUpdate);
   } else if (aFrame.__isset.tableQuery) {
     this->tables->OnQuery(aFrom.host, aFrame.tableQuery);
   } else if (aFrame.__isset.tableCopy) {
@@ -186,10 +186,10 @@
   std::vector<routing::UpstreamReport> reports;
   std::ranges::transform(aDigest.uses, std::back_inserter(reports), ReportOf);
   this->upstreams.OnPeerReports(id, reports, BootTime());
-  this->keys->OnUses(aDigest.keyUses);
+  this->keys->OnKeyUses(aDigest.keyUses);
   const KnownPeer& peer = this->peers.All().at(id);
   this->tables->OnPeerVersions(peer);
-  for (const auto& update : this->keys->WholeFor(peer)) {
+  for (const auto& update : this->keys->TakeFullMapsFor(peer)) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
     static_cast<void>(this->network->Send(id.value, frame));
@@ -257,7 +257,7 @@
 {
   const std::vector<std::string> all{ this->reachable.begin(),
                                       this->reachable.end() };
-  for (const auto& update : this->keys->TakeUpdates()) {
+  for (const auto& update : this->keys->TakeMapUpdates()) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
     this->network->SendToAll(all, frame);
@@ -280,7 +280,7 @@
   digest.__set_leaving(this->isLeaving);
   digest.__set_reachesStore(this->isStoreWell);
   this->tables->AddVersionsTo(digest);
-  digest.__set_keyMaps(this->keys->Marks());
+  digest.__set_keyMaps(this->keys->MapVersions());
   return digest;
 }
 
@@ -289,7 +289,7 @@
   const PeerTopology::DigestRecipients due =
     this->neighbours.TakeDigestRecipients(this->reachable,
                                           this->dispatcher->LoadChangeCount());
-  this->keys->OnUses(this->keys->TakeUses(this->self.host));
+  this->keys->OnKeyUses(this->keys->TakeKeyUses(this->self.host));
   if (due.full.empty() && due.brief.empty()) {
     return;
   }
@@ -309,7 +309,7 @@
 {
   protocol::Frame frame;
   std::erase_if(aHosts, [&](const std::string& aHost) {
-    const auto uses = this->keys->TakeUses({ aHost });
+    const auto uses = this->keys->TakeKeyUses({ aHost });
     if (uses.empty()) {
       return false;
     }
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -114,7 +114,7 @@
   if (row != copy.rows.end()) {
     this->ApplyConfiguration(row->second);
   }
-  this->keys->OnUpstreams();
+  this->keys->OnUpstreamsChanged();
   this->dispatcher->RecheckWaitingRequests();
   this->ArmDispatcher();
 }
@@ -206,7 +206,7 @@
           { "version", row.version } });
     }
   }
-  this->keys->OnUpstreams();
+  this->keys->OnUpstreamsChanged();
   this->dispatcher->RecheckWaitingRequests();
   this->ArmDispatcher();
 }
--- a/src/node/internal/keyedservices.cpp
+++ b/src/node/internal/keyedservices.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-Keys::Keys(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
+KeyedServices::KeyedServices(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
            routing::Upstreams& aUpstreams, const Peers& aPeers, Hooks aHooks)
   : self(std::move(aSelf))
   , maxLease(aMostHold)
@@ -62,7 +62,7 @@
 {
 }
 
-void Keys::SetServices(const std::set<ServiceName>& aServices)
+void KeyedServices::SetServices(const std::set<ServiceName>& aServices)
 {
   for (const ServiceName& service : aServices) {
     Part& part = this->parts[service];
@@ -73,7 +73,7 @@
   }
 }
 
-std::unique_ptr<ownership::Assigner> Keys::MakeAssigner(
+std::unique_ptr<ownership::Assigner> KeyedServices::MakeAssigner(
   const ServiceName& aService)
 {
   ownership::Assigner::Hooks own;
@@ -85,14 +85,14 @@
                                ownership::Assigner::WriteDone aDone) {
     this->Write(aService, aWrite, std::move(aDone));
   };
-  own.sendCommand = this->hooks.order;
+  own.sendCommand = this->hooks.sendCommand;
   own.candidates = [this, aService] { return this->OwnersOf(aService); };
   own.peers = [this, aService] { return this->peers.ViewsOf(aService); };
   own.publish = [this, aService] { this->Publish(aService); };
   own.preference = this->hooks.preference;
-  own.requestConnection = this->hooks.meet;
+  own.requestConnection = this->hooks.requestConnection;
   own.claimDelay = [this] {
-    return this->hooks.asksStore() ? Duration(0) : Duration(kHubsClaim);
+    return this->hooks.followsStore() ? Duration(0) : Duration(kHubsClaim);
   };
   own.log = [this, aService](std::string_view aWhat, std::string_view aDetail) {
     this->hooks.log(aService.value, aWhat, aDetail);
@@ -102,7 +102,7 @@
     std::move(own));
 }
 
-std::vector<ownership::OwnerCandidate> Keys::OwnersOf(
+std::vector<ownership::OwnerCandidate> KeyedServices::OwnersOf(
   const ServiceName& aService)
 {
   const TimePoint now = this->hooks.now();
@@ -127,7 +127,7 @@
   return owners;
 }
 
-void Keys::Read(const ServiceName& aService,
+void KeyedServices::Read(const ServiceName& aService,
                 const ownership::Assigner::ReadDone& aDone)
 {
   this->hooks.read(kKeysTable, aService.value,
@@ -150,7 +150,7 @@
                    });
 }
 
-void Keys::Write(const ServiceName& aService,
+void KeyedServices::Write(const ServiceName& aService,
                  const ownership::AssignmentWrite& aWrite,
                  ownership::Assigner::WriteDone aDone)
 {
@@ -168,7 +168,7 @@
   this->hooks.write(write, std::move(aDone));
 }
 
-void Keys::Publish(const ServiceName& aService)
+void KeyedServices::Publish(const ServiceName& aService)
 {
   Part& part = this->parts.at(aService);
   const ownership::MapVersion mark = part.assigner->CurrentMapVersion();
@@ -180,12 +180,12 @@
   if (part.map.ReplaceIfNewer(mark, part.assigner->CurrentMap(),
                               this->hooks.now())) {
     part.ownMark = mark;
-    this->hooks.publish();
-    this->hooks.changed();
+    this->hooks.publishMaps();
+    this->hooks.ownersChanged();
   }
 }
 
-std::vector<protocol::KeyMapUpdate> Keys::TakeUpdates()
+std::vector<protocol::KeyMapUpdate> KeyedServices::TakeMapUpdates()
 {
   const TimePoint now = this->hooks.now();
   std::vector<protocol::KeyMapUpdate> updates;
@@ -226,7 +226,7 @@
 // agree on an assigner, and until then every keyed request was refused, though
 // the upstreams still held their keys. A host that knows no map goes by the
 // stored holders; one that holds a key no more refuses to run its requests.
-void Keys::ReadHolders(const ServiceName& aService)
+void KeyedServices::ReadHolders(const ServiceName& aService)
 {
   this->parts.at(aService).holdersDue = this->hooks.now() + kHoldersAgain;
   this->Read(aService, [this, aService](const Result<AssignmentRows>& aStored) {
@@ -246,20 +246,20 @@
       ownership::MapFromAssignment(*assignment, aStored->assignmentVersion);
     if (this->parts.at(aService).map.ReplaceIfNewer(
           stored.version, std::move(stored.ranges), this->hooks.now())) {
-      this->parts.at(aService).isStoredUntold = this->hooks.asksStore();
+      this->parts.at(aService).isStoredUntold = this->hooks.followsStore();
       this->hooks.log(aService.value, "stored-holders",
                       "no assigner was heard yet");
-      this->hooks.changed();
+      this->hooks.ownersChanged();
     }
   });
 }
 
-void Keys::OnTimer()
+void KeyedServices::OnTimer()
 {
   const TimePoint now = this->hooks.now();
   for (auto& [service, part] : this->parts) {
     const bool isDue = now >= part.holdersDue &&
-                       (now >= part.othersTellUntil || this->hooks.asksStore());
+                       (now >= part.othersTellUntil || this->hooks.followsStore());
     if (part.map.CurrentVersion().assignmentVersion == 0 && isDue) {
       this->ReadHolders(service);
     }
@@ -267,34 +267,34 @@
   }
 }
 
-void Keys::OnUpstreams()
+void KeyedServices::OnUpstreamsChanged()
 {
   for (auto& [service, part] : this->parts) {
     part.assigner->OnMembershipChange();
   }
 }
 
-void Keys::SetStoreWell(bool aWell)
+void KeyedServices::SetStoreAvailable(bool aWell)
 {
   for (auto& [service, part] : this->parts) {
     part.assigner->SetStoreAvailable(aWell);
   }
 }
 
-void Keys::Leave()
+void KeyedServices::Leave()
 {
   for (auto& [service, part] : this->parts) {
     part.assigner->Leave();
   }
 }
 
-ownership::KeyMap* Keys::MapOf(const ServiceName& aService)
+ownership::KeyMap* KeyedServices::FindMap(const ServiceName& aService)
 {
   const auto found = this->parts.find(aService);
   return found == this->parts.end() ? nullptr : &found->second.map;
 }
 
-void Keys::OnUpdate(const protocol::KeyMapUpdate& aUpdate)
+void KeyedServices::OnMapUpdate(const protocol::KeyMapUpdate& aUpdate)
 {
   // A peer may know of a keyed service before this host's configuration.
   Part& part = this->parts[{ aUpdate.mark.serviceName }];
@@ -308,11 +308,11 @@
                                                RangesOf(aUpdate), now)
                        : part.map.ReplaceIfNewer(mark, RangesOf(aUpdate), now);
   if (isNew) {
-    this->hooks.changed();
+    this->hooks.ownersChanged();
   }
 }
 
-void Keys::OnRequest(const ServiceName& aService, ownership::Key aKey)
+void KeyedServices::OnRequest(const ServiceName& aService, ownership::Key aKey)
 {
   const auto found = this->parts.find(aService);
   if (found != this->parts.end() && found->second.used.size() < kMostUses) {
@@ -320,7 +320,7 @@
   }
 }
 
-void Keys::OnUses(const std::vector<protocol::KeyUse>& aUses)
+void KeyedServices::OnKeyUses(const std::vector<protocol::KeyUse>& aUses)
 {
   for (const protocol::KeyUse& use : aUses) {
     const auto found = this->parts.find({ use.serviceName });
@@ -335,7 +335,7 @@
   }
 }
 
-std::vector<protocol::KeyMapMark> Keys::Marks() const
+std::vector<protocol::KeyMapMark> KeyedServices::MapVersions() const
 {
   std::vector<protocol::KeyMapMark> marks;
   for (const auto& [service, part] : this->parts) {
@@ -349,7 +349,7 @@
   return marks;
 }
 
-std::vector<protocol::KeyUse> Keys::TakeUses(const state::HostId& aPeer)
+std::vector<protocol::KeyUse> KeyedServices::TakeKeyUses(const state::HostId& aPeer)
 {
   std::vector<protocol::KeyUse> uses;
   for (auto& [service, part] : this->parts) {
@@ -365,23 +365,23 @@
   return uses;
 }
 
-bool Keys::WasToldWhole(const Part& aPart, const KnownPeer& aPeer) const
+bool KeyedServices::WasToldWhole(const Part& aPart, const KnownPeer& aPeer) const
 {
   const auto whole = aPart.wholeAt.find(aPeer.host.host);
   return whole != aPart.wholeAt.end() &&
          this->hooks.now() - whole->second < kMissedAfter;
 }
 
-bool Keys::HasNoMap(const Part& aPart, const ServiceName& aService,
+bool KeyedServices::HasNoMap(const Part& aPart, const ServiceName& aService,
                     const KnownPeer& aPeer) const
 {
   const ownership::MapVersion& mark = aPart.map.CurrentVersion();
   return mark.assignmentVersion > 0 && mark.assigner.host.value.empty() &&
-         this->hooks.asksStore() && !aPeer.maps.contains(aService) &&
+         this->hooks.followsStore() && !aPeer.maps.contains(aService) &&
          !this->WasToldWhole(aPart, aPeer);
 }
 
-bool Keys::HasMissed(const Part& aPart, const ServiceName& aService,
+bool KeyedServices::HasMissed(const Part& aPart, const ServiceName& aService,
                      const KnownPeer& aPeer) const
 {
   const TimePoint now = this->hooks.now();
@@ -397,7 +397,7 @@
   return now - toldAt > kMissedAfter && !goesByIt;
 }
 
-std::vector<protocol::KeyMapUpdate> Keys::WholeFor(const KnownPeer& aPeer)
+std::vector<protocol::KeyMapUpdate> KeyedServices::TakeFullMapsFor(const KnownPeer& aPeer)
 {
   std::vector<protocol::KeyMapUpdate> updates;
   for (auto& [service, part] : this->parts) {
@@ -414,7 +414,7 @@
   return updates;
 }
 
-std::set<state::HostId> Keys::Assigners() const
+std::set<state::HostId> KeyedServices::Assigners() const
 {
   std::set<state::HostId> assigners;
   for (const auto& [service, part] : this->parts) {
@@ -425,7 +425,7 @@
   return assigners;
 }
 
-bool Keys::IsAssigner() const
+bool KeyedServices::IsAssigner() const
 {
   return std::ranges::any_of(this->parts, [](const auto& aItem) {
     return aItem.second.assigner->IsAssigner();
--- a/src/node/internal/keyedservices.h
+++ b/src/node/internal/keyedservices.h
@@ -19,7 +19,7 @@
 
 namespace kumquat::node {
 
-class Keys
+class KeyedServices
 {
 public:
   struct Hooks
@@ -33,21 +33,21 @@
       write;
     std::function<void(const ownership::LeaseCommand&,
                        ownership::Assigner::CommandDone)>
-      order;
+      sendCommand;
     // Of Assigner::Hooks.
     std::function<double(const state::HostId&)> preference;
-    std::function<void(const state::HostRef&)> meet;
+    std::function<void(const state::HostRef&)> requestConnection;
     // Whether this host is one of those that ask the store and tell the others.
-    std::function<bool()> asksStore;
+    std::function<bool()> followsStore;
     // A map has changed here and peers should hear of it; see TakeUpdates.
-    std::function<void()> publish;
+    std::function<void()> publishMaps;
     // Waiting requests may find an owner now.
-    std::function<void()> changed;
+    std::function<void()> ownersChanged;
     std::function<void(std::string_view, std::string_view, std::string_view)>
       log;
   };
 
-  Keys(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
+  KeyedServices(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
        routing::Upstreams& aUpstreams, const Peers& aPeers, Hooks aHooks);
 
   // The services that are keyed now; a service that is gone keeps its
@@ -55,26 +55,26 @@
   void SetServices(const std::set<state::ServiceName>& aServices);
   void OnTimer();
   // Upstreams or places have changed.
-  void OnUpstreams();
-  void SetStoreWell(bool aWell);
+  void OnUpstreamsChanged();
+  void SetStoreAvailable(bool aWell);
   void Leave();
 
   // Null where nothing is known of the service.
-  ownership::KeyMap* MapOf(const state::ServiceName& aService);
-  void OnUpdate(const protocol::KeyMapUpdate& aUpdate);
+  ownership::KeyMap* FindMap(const state::ServiceName& aService);
+  void OnMapUpdate(const protocol::KeyMapUpdate& aUpdate);
   // A key of a request that arrived here.
   void OnRequest(const state::ServiceName& aService, ownership::Key aKey);
-  void OnUses(const std::vector<protocol::KeyUse>& aUses);
+  void OnKeyUses(const std::vector<protocol::KeyUse>& aUses);
 
   // For the digest to a peer: keys are told to their assigner only, and once.
-  std::vector<protocol::KeyMapMark> Marks() const;
-  std::vector<protocol::KeyUse> TakeUses(const state::HostId& aPeer);
+  std::vector<protocol::KeyMapMark> MapVersions() const;
+  std::vector<protocol::KeyUse> TakeKeyUses(const state::HostId& aPeer);
   // What changed in this host's maps since the last call, for everyone.
-  std::vector<protocol::KeyMapUpdate> TakeUpdates();
+  std::vector<protocol::KeyMapUpdate> TakeMapUpdates();
   // The whole map where this host assigns it and the peer has missed a change
   // of a while ago: the changes since were of no use to it. The stored one
   // where it has none.
-  std::vector<protocol::KeyMapUpdate> WholeFor(const KnownPeer& aPeer);
+  std::vector<protocol::KeyMapUpdate> TakeFullMapsFor(const KnownPeer& aPeer);
   bool IsAssigner() const;
   // Of the maps that this host goes by.
   std::set<state::HostId> Assigners() const;
--- a/src/node/tests/keyedservices_test.cpp
+++ b/src/node/tests/keyedservices_test.cpp
@@ -13,9 +13,9 @@
 
 using std::chrono::milliseconds;
 
-class KeysDutyTest : public CppUnit::TestFixture
+class KeyedServicesTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(KeysDutyTest);
+  CPPUNIT_TEST_SUITE(KeyedServicesTest);
   CPPUNIT_TEST(testRestartedHostGoesByTheStoredHolders);
   CPPUNIT_TEST(testStoredHoldersGiveWayToTheAssigner);
   CPPUNIT_TEST(testStoreIsAskedAgainOnlyWhereItFailed);
@@ -48,7 +48,7 @@
     this->Store(7, "u1");
     this->keys->SetServices({ kStoc });
     this->keys->OnTimer();
-    const auto owner = this->keys->MapOf(kStoc)->OwnerOf(5, this->now);
+    const auto owner = this->keys->FindMap(kStoc)->OwnerOf(5, this->now);
     CPPUNIT_ASSERT_EQUAL(std::string("u1"), owner.upstream.value);
     // Requests that wait for an owner look again.
     CPPUNIT_ASSERT_EQUAL(1, this->changes);
@@ -72,8 +72,8 @@
     range.__set_last(ownership::kLastKey);
     range.__set_upstream("u2");
     update.__set_ranges({ range });
-    this->keys->OnUpdate(update);
-    const auto owner = this->keys->MapOf(kStoc)->OwnerOf(5, this->now);
+    this->keys->OnMapUpdate(update);
+    const auto owner = this->keys->FindMap(kStoc)->OwnerOf(5, this->now);
     CPPUNIT_ASSERT_EQUAL(std::string("u2"), owner.upstream.value);
   }
 
@@ -101,18 +101,18 @@
     this->Store(7, "u1");
     this->keys->SetServices({ kStoc });
     this->keys->OnTimer();
-    const auto told = this->keys->TakeUpdates();
+    const auto told = this->keys->TakeMapUpdates();
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, told.size());
-    CPPUNIT_ASSERT(this->keys->TakeUpdates().empty());
+    CPPUNIT_ASSERT(this->keys->TakeMapUpdates().empty());
     this->setUp();
     this->asksStore = false;
     this->keys->SetServices({ kStoc });
     this->keys->OnTimer();
-    this->keys->OnUpdate(told.front());
+    this->keys->OnMapUpdate(told.front());
     this->now += milliseconds(2000);
     this->keys->OnTimer();
     CPPUNIT_ASSERT_EQUAL(0, this->reads);
-    const auto owner = this->keys->MapOf(kStoc)->OwnerOf(5, this->now);
+    const auto owner = this->keys->FindMap(kStoc)->OwnerOf(5, this->now);
     CPPUNIT_ASSERT_EQUAL(std::string("u1"), owner.upstream.value);
   }
 
@@ -132,9 +132,9 @@
 private:
   inline static const state::ServiceName kStoc{ "stoc" };
 
-  Keys::Hooks MakeHooks()
+  KeyedServices::Hooks MakeHooks()
   {
-    Keys::Hooks hooks;
+    KeyedServices::Hooks hooks;
     hooks.now = [this] { return this->now; };
     hooks.read = [this](const std::string&, const std::string&,
                         const state::RowStore::ReadDone& aDone) {
@@ -147,8 +147,8 @@
       read.rows = this->rows;
       aDone(std::move(read));
     };
-    hooks.asksStore = [this] { return this->asksStore; };
-    hooks.changed = [this] { ++this->changes; };
+    hooks.followsStore = [this] { return this->asksStore; };
+    hooks.ownersChanged = [this] { ++this->changes; };
     hooks.log = [](std::string_view, std::string_view, std::string_view) {};
     return hooks;
   }
@@ -169,9 +169,9 @@
   std::vector<state::StoredRow> rows;
   std::optional<routing::Upstreams> upstreams;
   std::optional<Peers> peers;
-  std::optional<Keys> keys;
+  std::optional<KeyedServices> keys;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(KeysDutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(KeyedServicesTest);
 
 } // namespace kumquat::node
