--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -56,7 +56,7 @@
 {
   Registration::Hooks hooks;
   hooks.now = BootTime;
-  hooks.readFirst = [this](state::RowStore::ReadDone aDone) {
+  hooks.readFirstRows = [this](state::RowStore::ReadDone aDone) {
     this->storeThread.Hand([this, done = std::move(aDone)] {
       this->store->Rows().ReadFirst(
         kHostTable, "", kFirstHosts,
@@ -73,8 +73,8 @@
     write.puts.push_back(aRow);
     this->WriteRows(write, std::move(aDone));
   };
-  hooks.othersTell = [this] { return this->neighbours.Cells().IsDivided(); };
-  hooks.found = [this](const state::RowsRead& aRead) {
+  hooks.isTableFollowedByOthers = [this] { return this->neighbours.Cells().IsDivided(); };
+  hooks.firstRowsRead = [this](const state::RowsRead& aRead) {
     this->OnFirstHosts(aRead);
   };
   return hooks;
@@ -101,10 +101,10 @@
 
 void Gateway::Impl::ChooseTables(const std::vector<state::HostId>& aLiveMates)
 {
-  const bool isKnown = this->registration->HasLooked() ||
+  const bool isKnown = this->registration->HasReadTable() ||
                        this->tables->Find(kHostTable).version > 0;
   this->tables->SetHostListState(isKnown ? HostListState::kKnown
-                                 : this->registration->HasFailed()
+                                 : this->registration->HasLastReadFailed()
                                    ? HostListState::kUnavailable
                                    : HostListState::kUnknown);
   this->tables->OnTimer(aLiveMates);
--- a/src/node/internal/registration.cpp
+++ b/src/node/internal/registration.cpp
@@ -94,7 +94,7 @@
       this->Write();
       return;
     case Step::kLook:
-      if (this->isEntered && this->hasLooked && this->hooks.othersTell()) {
+      if (this->isEntered && this->hasLooked && this->hooks.isTableFollowedByOthers()) {
         this->Next(Step::kLook, kLookAgain);
       } else {
         this->Look();
@@ -135,7 +135,7 @@
 void Registration::Look()
 {
   this->isAsking = true;
-  this->hooks.readFirst([this](const Result<state::RowsRead>& aRead) {
+  this->hooks.readFirstRows([this](const Result<state::RowsRead>& aRead) {
     this->isAsking = false;
     this->hasFailed = !aRead;
     this->hasLooked |= aRead.has_value();
@@ -162,7 +162,7 @@
   } else {
     this->Next(Step::kWrite, aRead.isPartial ? kTableComes : milliseconds(0));
   }
-  this->hooks.found(aRead);
+  this->hooks.firstRowsRead(aRead);
 }
 
 void Registration::OnTable(const TableReplica& aCopy)
--- a/src/node/internal/registration.h
+++ b/src/node/internal/registration.h
@@ -43,13 +43,13 @@
   {
     Clock now;
     // Calls of the store; their answers come on the serving thread.
-    std::function<void(state::RowStore::ReadDone)> readFirst;
+    std::function<void(state::RowStore::ReadDone)> readFirstRows;
     std::function<void(const state::StoredRow&, state::RowStore::WriteDone)>
       write;
     // Whether others follow the table and tell of new hosts.
-    std::function<bool()> othersTell;
+    std::function<bool()> isTableFollowedByOthers;
     // The first rows of the table, each time that they were read.
-    std::function<void(const state::RowsRead&)> found;
+    std::function<void(const state::RowsRead&)> firstRowsRead;
   };
 
   Registration(const HostRow& aSelf, bool aIsFirstStart, Hooks aHooks);
@@ -59,8 +59,8 @@
   void OnTable(const TableReplica& aCopy);
 
   // The store has told who is there, once; its last answer about it failed.
-  bool HasLooked() const { return this->hasLooked; }
-  bool HasFailed() const { return this->hasFailed; }
+  bool HasReadTable() const { return this->hasLooked; }
+  bool HasLastReadFailed() const { return this->hasFailed; }
 
 private:
   enum class Step
