--- a/src/node/callerhttp.h
+++ b/src/node/callerhttp.h
@@ -16,9 +16,9 @@
 
 transport::HttpResponse ToHttpResponse(coordination::RequestResult&& aResult);
 
-transport::HttpResponse ErrorResponse(protocol::ErrorKind aKind);
+transport::HttpResponse MakeErrorResponse(protocol::ErrorKind aKind);
 
 // For requests that the HTTP server itself refuses.
-protocol::ErrorKind KindOf(transport::ServerRefusal aRefusal);
+protocol::ErrorKind ErrorKindOf(transport::ServerRefusal aRefusal);
 
 } // namespace kumquat::node
--- a/src/node/internal/callerhttp.cpp
+++ b/src/node/internal/callerhttp.cpp
@@ -116,7 +116,7 @@
     response.headers.push_back({ "Kumquat-Outcome", "ran" });
     return response;
   }
-  HttpResponse response = ErrorResponse(aResult.error);
+  HttpResponse response = MakeErrorResponse(aResult.error);
   if (aResult.retryAfter) {
     std::erase_if(response.headers, [](const HttpHeader& aHeader) {
       return aHeader.name == "Retry-After";
@@ -127,7 +127,7 @@
   return response;
 }
 
-HttpResponse ErrorResponse(ErrorKind aKind)
+HttpResponse MakeErrorResponse(ErrorKind aKind)
 {
   const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aKind);
   const std::string outcome(protocol::OutcomeName(answer.outcome));
@@ -146,7 +146,7 @@
   return response;
 }
 
-ErrorKind KindOf(transport::ServerRefusal aRefusal)
+ErrorKind ErrorKindOf(transport::ServerRefusal aRefusal)
 {
   switch (aRefusal) {
     case transport::ServerRefusal::kHeaderTooLarge:
--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -173,11 +173,11 @@
     this->OnCaller(std::move(aRequest), aRespond);
   };
   options.refuse = [this](transport::ServerRefusal aRefusal) {
-    const ErrorKind kind = KindOf(aRefusal);
+    const ErrorKind kind = ErrorKindOf(aRefusal);
     this->refusals.Add(kind);
     return platform::MakeErrorResponse(kind);
   };
-  return Keep(
+  return TakeListener(
     transport::HttpServer::Listen(this->serving.Context(), std::move(options)),
     this->callerServer);
 }
@@ -189,9 +189,9 @@
   options.handler = [this](const HttpRequest&,
                            const transport::HttpServer::Respond& aRespond) {
     const bool up = this->IsReady();
-    aRespond(PlainText(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
+    aRespond(MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
   };
-  return Keep(
+  return TakeListener(
     transport::HttpServer::Listen(this->serving.Context(), std::move(options)),
     this->checkServer);
 }
@@ -202,9 +202,9 @@
   options.address = this->settings.metricsAddress;
   options.handler = [this](const HttpRequest&,
                            const transport::HttpServer::Respond& aRespond) {
-    aRespond(PlainText(200, this->metrics.Text()));
+    aRespond(MakePlainTextResponse(200, this->metrics.Text()));
   };
-  return Keep(transport::HttpServer::Listen(this->storeThread.Context(),
+  return TakeListener(transport::HttpServer::Listen(this->storeThread.Context(),
                                             std::move(options)),
               this->metricsServer);
 }
@@ -213,7 +213,7 @@
 {
   transport::PeerNetwork::Options options;
   options.address = this->settings.peerAddress;
-  options.hello = HelloOf(this->self, this->settings.dataCentre);
+  options.hello = MakeHello(this->self, this->settings.dataCentre);
   options.redialPause = milliseconds(500);
   options.onFrame = [this](const protocol::HostRef& aFrom,
                            const protocol::Frame& aFrame) {
@@ -229,7 +229,7 @@
     this->log.Write(aUp ? Event::kPeerUp : Event::kPeerDown,
                     { { "peer", aPeer.host } });
   };
-  return Keep(
+  return TakeListener(
     transport::PeerNetwork::Listen(this->serving.Context(), std::move(options)),
     this->network);
 }
--- a/src/node/internal/listenerhelpers.h
+++ b/src/node/internal/listenerhelpers.h
@@ -20,7 +20,7 @@
   return aAddress.substr(0, aAddress.rfind(':'));
 }
 
-inline transport::HttpResponse PlainText(int aStatus, std::string aText)
+inline transport::HttpResponse MakePlainTextResponse(int aStatus, std::string aText)
 {
   transport::HttpResponse response;
   response.status = aStatus;
@@ -30,7 +30,7 @@
 }
 
 // What a host says first on each connection to another.
-inline protocol::Hello HelloOf(const state::HostRef& aSelf,
+inline protocol::Hello MakeHello(const state::HostRef& aSelf,
                                const state::DataCentre& aDataCentre)
 {
   protocol::Hello hello;
@@ -42,7 +42,7 @@
 
 // Keeps what listens; else says why it cannot.
 template<typename Listener>
-std::error_code Keep(Result<std::unique_ptr<Listener>> aListening,
+std::error_code TakeListener(Result<std::unique_ptr<Listener>> aListening,
                      std::unique_ptr<Listener>& aPlace)
 {
   if (!aListening) {
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -136,10 +136,10 @@
     this->OnCaller(std::move(aRequest), aRespond);
   };
   options.refuse = [this](transport::ServerRefusal aRefusal) {
-    const ErrorKind kind = KindOf(aRefusal);
-    return this->Count(kind, ErrorResponse(kind));
+    const ErrorKind kind = ErrorKindOf(aRefusal);
+    return this->Count(kind, MakeErrorResponse(kind));
   };
-  return Keep(
+  return TakeListener(
     transport::HttpServer::Listen(this->callers.Context(), std::move(options)),
     this->callerServer);
 }
@@ -154,7 +154,7 @@
                            const transport::HttpServer::Respond& aRespond) {
     this->OnOperator(aRequest, aRespond);
   };
-  return Keep(
+  return TakeListener(
     transport::HttpServer::Listen(this->callers.Context(), std::move(options)),
     this->operatorServer);
 }
@@ -163,7 +163,7 @@
 {
   transport::PeerNetwork::Options options;
   options.address = this->settings.peerAddress;
-  options.hello = HelloOf(this->self, this->settings.dataCentre);
+  options.hello = MakeHello(this->self, this->settings.dataCentre);
   options.onFrame = [this](const protocol::HostRef& aFrom,
                            protocol::Frame aFrame) {
     this->OnFrame(aFrom, std::move(aFrame));
@@ -183,7 +183,7 @@
         [shared = std::make_shared<Task>(std::move(task))] { (*shared)(); });
     }
   };
-  return Keep(
+  return TakeListener(
     transport::PeerNetwork::Listen(this->callers.Context(), std::move(options)),
     this->peers);
 }
@@ -194,7 +194,7 @@
   auto request = ToCallerRequest(std::move(aRequest), Now());
   if (!request) {
     const auto kind = static_cast<ErrorKind>(request.error().value());
-    aRespond(this->Count(kind, ErrorResponse(kind)));
+    aRespond(this->Count(kind, MakeErrorResponse(kind)));
     return;
   }
   this->lastArrival.store(Now().time_since_epoch().count());
@@ -216,7 +216,7 @@
   };
   if (!this->coordination.TryHand(task)) {
     aRespond(
-      this->Count(ErrorKind::kRingFull, ErrorResponse(ErrorKind::kRingFull)));
+      this->Count(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
   }
 }
 
@@ -279,7 +279,7 @@
 {
   if (aRequest.target == "/ready") {
     const bool up = this->ready.load() && !this->stopping.load();
-    aRespond(PlainText(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
+    aRespond(MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
     return;
   }
   Task task = [this, aRequest, aRespond] {
@@ -287,7 +287,7 @@
   };
   if (!this->coordination.TryHand(task)) {
     aRespond(
-      this->Count(ErrorKind::kRingFull, ErrorResponse(ErrorKind::kRingFull)));
+      this->Count(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
   }
 }
 
