--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -63,9 +63,9 @@
   , metrics(Now)
   , refusals(this->metrics, "kumquat_refusals_total",
              "Requests answered with an error.", "reason")
-  , resends(this->metrics, "kumquat_retries_total",
+  , retries(this->metrics, "kumquat_retries_total",
             "Sends after a first one, by reason.", "reason")
-  , answered(this->metrics.GetOrCreateCounter(
+  , answeredRequests(this->metrics.GetOrCreateCounter(
       "kumquat_answers_total", "Requests answered by an upstream."))
   , log({ .level = aSettings.logLevel,
           .json = true,
@@ -102,24 +102,24 @@
   options.connectTimeout = kUpstreamConnect;
   options.unacknowledged = kUpstreamUnacknowledged;
   options.maxIdle = kIdleConnections;
-  this->orderClient =
+  this->leaseClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
   options.echoHeader = platform::RequestIdHeader();
   options.errorsNeedEcho = false;
   options.wholeBodyBytes = kWholeAnswer;
   this->upstreamClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
-  this->keys =
+  this->keyedServices =
     std::make_unique<KeyedServices>(this->self, this->settings.maxLease, this->upstreams,
-                           this->peers, this->KeysHooks());
+                           this->peers, this->KeyedServicesHooks());
   this->dispatcher = std::make_unique<routing::Dispatcher>(
     routing::DispatcherOptions{ this->settings.host, this->settings.dataCentre,
                                 this->settings.resendShare,
                                 this->settings.resendExtra },
     this->upstreams, this->DispatcherHooks());
   this->tables = std::make_unique<TableReplication>(
-    this->neighbours, this->peers, this->reachable, this->settings.isFirstStart,
-    this->SpreadHooks());
+    this->neighbours, this->peers, this->connectedPeers, this->settings.isFirstStart,
+    this->TableReplicationHooks());
   this->registration = std::make_unique<Registration>(
     HostRow{ this->settings.host, this->settings.peerAddress,
              this->settings.dataCentre, this->settings.processors },
@@ -137,10 +137,10 @@
       },
       [this](bool aWell) {
         this->serving.Hand([this, aWell] {
-          this->isStoreWell = aWell;
+          this->isStoreAvailable = aWell;
           this->tables->SetStoreAvailable(aWell);
           this->log.Write(aWell ? Event::kStoreBack : Event::kStoreDown);
-          this->keys->SetStoreAvailable(aWell);
+          this->keyedServices->SetStoreAvailable(aWell);
         });
       },
       [this](const TableReadResult& aEnd) { this->OnTableReadEnded(aEnd); },
@@ -148,7 +148,7 @@
         this->OnStoreCall(aCall, aTable);
       } });
   for (const std::error_code error :
-       { this->ListenForPeers(), this->ListenForChecks(),
+       { this->ListenForPeers(), this->ListenForReadinessChecks(),
          this->ListenForMetrics(), this->ListenForCallers() }) {
     if (error) {
       return error;
@@ -170,7 +170,7 @@
   options.endIsLeaving = true;
   options.handler = [this](HttpRequest aRequest,
                            const transport::HttpServer::Respond& aRespond) {
-    this->OnCaller(std::move(aRequest), aRespond);
+    this->OnCallerRequest(std::move(aRequest), aRespond);
   };
   options.refuse = [this](transport::ServerRefusal aRefusal) {
     const ErrorKind kind = ErrorKindOf(aRefusal);
@@ -182,7 +182,7 @@
     this->callerServer);
 }
 
-std::error_code Gateway::Impl::ListenForChecks()
+std::error_code Gateway::Impl::ListenForReadinessChecks()
 {
   transport::HttpServer::Options options;
   options.address = this->settings.readyAddress;
@@ -193,7 +193,7 @@
   };
   return TakeListener(
     transport::HttpServer::Listen(this->serving.Context(), std::move(options)),
-    this->checkServer);
+    this->readinessServer);
 }
 
 std::error_code Gateway::Impl::ListenForMetrics()
@@ -221,10 +221,10 @@
   };
   options.onUp = [this](const protocol::HostRef& aPeer, bool aUp) {
     if (aUp) {
-      this->reachable.insert(aPeer.host);
+      this->connectedPeers.insert(aPeer.host);
       this->tables->OnPeerUp({ aPeer.host });
     } else {
-      this->reachable.erase(aPeer.host);
+      this->connectedPeers.erase(aPeer.host);
     }
     this->log.Write(aUp ? Event::kPeerUp : Event::kPeerDown,
                     { { "peer", aPeer.host } });
@@ -253,7 +253,7 @@
   };
   hooks.findOwner = [this](const state::ServiceName& aService,
                            routing::Key aKey) {
-    const ownership::KeyMap* map = this->keys->FindMap(aService);
+    const ownership::KeyMap* map = this->keyedServices->FindMap(aService);
     if (map == nullptr) {
       return routing::KeyOwner{};
     }
@@ -263,18 +263,18 @@
   };
   hooks.reportNotOwner = [this](const state::ServiceName& aService,
                                 routing::Key aKey, const state::UpstreamId&) {
-    if (ownership::KeyMap* map = this->keys->FindMap(aService)) {
+    if (ownership::KeyMap* map = this->keyedServices->FindMap(aService)) {
       map->OnNotOwner(aKey, BootTime());
     }
   };
   hooks.onRequestEnded = [this](const routing::RequestTrace& aTrace) {
-    this->OnEnded(aTrace);
+    this->OnRequestEnded(aTrace);
   };
-  hooks.onRetry = [this](ErrorKind aWhy) { this->resends.Add(aWhy); };
+  hooks.onRetry = [this](ErrorKind aWhy) { this->retries.Add(aWhy); };
   return hooks;
 }
 
-KeyedServices::Hooks Gateway::Impl::KeysHooks()
+KeyedServices::Hooks Gateway::Impl::KeyedServicesHooks()
 {
   KeyedServices::Hooks hooks;
   hooks.now = BootTime;
@@ -295,14 +295,14 @@
   };
   hooks.sendCommand = [this](const ownership::LeaseCommand& aOrder,
                        ownership::Assigner::CommandDone aDone) {
-    this->SendOrder(aOrder, std::move(aDone));
+    this->SendLeaseCommand(aOrder, std::move(aDone));
   };
   hooks.preference = [this](const state::HostId& aHost) {
     return this->neighbours.DutyPreference(aHost);
   };
   hooks.requestConnection = [this](const state::HostRef& aClaimant) {
-    this->claimant = aClaimant.host;
-    this->Dial();
+    this->unknownClaimant = aClaimant.host;
+    this->UpdateConnections();
   };
   hooks.followsStore = [this] { return this->tables->IsFollowing(); };
   hooks.publishMaps = [this] {
@@ -312,7 +312,7 @@
   };
   hooks.ownersChanged = [this] {
     this->dispatcher->RecheckWaitingRequests();
-    this->ArmDispatcher();
+    this->ScheduleDispatcher();
   };
   hooks.log = [this](std::string_view aService, std::string_view aWhat,
                      std::string_view aDetail) {
@@ -325,7 +325,7 @@
 
 // --- requests
 
-void Gateway::Impl::OnCaller(HttpRequest&& aRequest,
+void Gateway::Impl::OnCallerRequest(HttpRequest&& aRequest,
                              const transport::HttpServer::Respond& aRespond)
 {
   const auto link = aRequest.link;
@@ -341,7 +341,7 @@
     const routing::Route* route =
       this->routes->FindRoute(request->hostName, request->message.target);
     if (route != nullptr && route->destinations.size() == 1) {
-      this->keys->OnRequest(route->destinations.front().service, *request->key);
+      this->keyedServices->OnRequest(route->destinations.front().service, *request->key);
     }
   }
   const routing::RequestNumber number = this->dispatcher->OnRequest(
@@ -350,9 +350,9 @@
     });
   link->onGone = [this, number] {
     this->dispatcher->OnCallerGone(number);
-    this->ArmDispatcher();
+    this->ScheduleDispatcher();
   };
-  this->ArmDispatcher();
+  this->ScheduleDispatcher();
 }
 
 void Gateway::Impl::SendUpstream(const routing::UpstreamRequest& aSend)
@@ -378,16 +378,16 @@
           number,
           static_cast<transport::TransportError>(aAnswer.error().value()));
       }
-      this->ArmDispatcher();
+      this->ScheduleDispatcher();
     });
   this->calls[number] = call;
 }
 
-void Gateway::Impl::SendOrder(const ownership::LeaseCommand& aOrder,
+void Gateway::Impl::SendLeaseCommand(const ownership::LeaseCommand& aOrder,
                               ownership::Assigner::CommandDone aDone)
 {
   const bool grants = aOrder.kind == ownership::LeaseCommandKind::kGrant;
-  this->orderClient->Send(
+  this->leaseClient->Send(
     aOrder.address, platform::MakeLeaseCommandRequest(aOrder),
     grants ? kGrantTimeout : kReleaseTimeout,
     [done = std::move(aDone)](const Result<HttpResponse>& aAnswer) {
@@ -403,11 +403,11 @@
     });
 }
 
-void Gateway::Impl::OnEnded(const routing::RequestTrace& aTrace)
+void Gateway::Impl::OnRequestEnded(const routing::RequestTrace& aTrace)
 {
   this->calls.erase(aTrace.number);
   if (aTrace.error == ErrorKind::kNone) {
-    this->answered.Add();
+    this->answeredRequests.Add();
     Summary*& summary = this->latencies[aTrace.service];
     if (summary == nullptr) {
       summary = &this->metrics.GetOrCreateSummary(
@@ -447,22 +447,22 @@
         this->tables->Find(std::string(platform::kUpstreamTable)).version } });
 }
 
-void Gateway::Impl::ArmDispatcher()
+void Gateway::Impl::ScheduleDispatcher()
 {
   const auto due = this->dispatcher->NextDue();
-  if (!due || *due >= this->dispatchDue) {
+  if (!due || *due >= this->dispatchDueAt) {
     return;
   }
-  this->dispatchDue = *due;
+  this->dispatchDueAt = *due;
   this->dispatchTimer.expires_after(std::max(Duration(0), *due - BootTime()));
   this->dispatchTimer.async_wait(
     [this](const boost::system::error_code& aError) {
       if (aError) {
         return;
       }
-      this->dispatchDue = TimePoint::max();
+      this->dispatchDueAt = TimePoint::max();
       this->dispatcher->OnTimer();
-      this->ArmDispatcher();
+      this->ScheduleDispatcher();
     });
 }
 
@@ -492,8 +492,8 @@
   this->log.Write(Event::kStopping);
   this->serving.Hand([this] {
     this->isLeaving = true;
-    this->keys->Leave();
-    this->SendDigest({ this->reachable.begin(), this->reachable.end() },
+    this->keyedServices->Leave();
+    this->SendDigest({ this->connectedPeers.begin(), this->connectedPeers.end() },
                      this->MakeDigest());
   });
   std::this_thread::sleep_until(start + kUntilDrain);
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -54,18 +54,18 @@
 
   std::error_code ListenForCallers();
   std::error_code ListenForPeers();
-  std::error_code ListenForChecks();
+  std::error_code ListenForReadinessChecks();
   std::error_code ListenForMetrics();
   routing::Dispatcher::Hooks DispatcherHooks();
-  KeyedServices::Hooks KeysHooks();
+  KeyedServices::Hooks KeyedServicesHooks();
 
   // Serving thread.
-  void OnCaller(transport::HttpRequest&& aRequest,
+  void OnCallerRequest(transport::HttpRequest&& aRequest,
                 const transport::HttpServer::Respond& aRespond);
   void SendUpstream(const routing::UpstreamRequest& aSend);
-  void SendOrder(const ownership::LeaseCommand& aOrder,
+  void SendLeaseCommand(const ownership::LeaseCommand& aOrder,
                  ownership::Assigner::CommandDone aDone);
-  void OnEnded(const routing::RequestTrace& aTrace);
+  void OnRequestEnded(const routing::RequestTrace& aTrace);
   void OnFrame(const protocol::HostRef& aFrom, const protocol::Frame& aFrame);
   void OnDigest(const protocol::HostDigest& aDigest);
   void OnTableChanged(const std::string& aTable,
@@ -75,19 +75,19 @@
   void OnStoreCall(state::StoreCall aCall, const std::string& aTable);
   void ApplyOperatorRows();
   void ApplyConfiguration(const state::StoredRow& aRow);
-  bool IsConfigurationBehind() const;
+  bool IsConfigurationOutdated() const;
   void ApplyUpstreamRows(const std::vector<state::StoredRow>& aChanged,
                          std::chrono::milliseconds aGrace);
-  TableReplication::Hooks SpreadHooks();
+  TableReplication::Hooks TableReplicationHooks();
   Registration::Hooks RegistrationHooks();
   // Itself included.
-  std::vector<state::HostId> LiveMates() const;
-  void ChooseTables(const std::vector<state::HostId>& aLiveMates);
-  void OnFirstHosts(const state::RowsRead& aRead);
+  std::vector<state::HostId> LiveCellMembers() const;
+  void UpdateFollowedTables(const std::vector<state::HostId>& aLiveMates);
+  void OnFirstHostRows(const state::RowsRead& aRead);
   void WriteRows(const state::RowsWrite& aWrite,
                  state::RowStore::WriteDone aDone);
   void SetHosts(const std::vector<state::StoredRow>& aRows);
-  void Dial();
+  void UpdateConnections();
   void Tick();
   protocol::HostDigest MakeDigest();
   void SendDigests();
@@ -95,17 +95,17 @@
                   protocol::HostDigest aDigest);
   void SendKeyMaps();
   void OnCaughtUp(const std::string& aTable, Duration aBehind);
-  bool AreUpstreamsSettled() const;
-  void ArmDispatcher();
-  void PublishGauges();
+  bool AreRemovedUpstreamsExpired() const;
+  void ScheduleDispatcher();
+  void UpdateGauges();
   bool IsReady() const;
 
   state::GatewaySettings settings;
   const state::HostRef self;
   Metrics metrics;
   protocol::ErrorCounters refusals;
-  protocol::ErrorCounters resends;
-  Counter& answered;
+  protocol::ErrorCounters retries;
+  Counter& answeredRequests;
   EventLog log;
   std::mt19937_64 random;
   std::map<std::string, Summary*> latencies;
@@ -117,33 +117,33 @@
   routing::Upstreams upstreams;
   Peers peers;
   PeerTopology neighbours;
-  std::unique_ptr<KeyedServices> keys;
+  std::unique_ptr<KeyedServices> keyedServices;
   std::unique_ptr<routing::Dispatcher> dispatcher;
   std::shared_ptr<const routing::RouteTable> routes;
   // Peers with a connection.
-  std::set<std::string> reachable;
+  std::set<std::string> connectedPeers;
   std::unique_ptr<TableReplication> tables;
   std::unique_ptr<Registration> registration;
   ServerPtr callerServer;
-  ServerPtr checkServer;
+  ServerPtr readinessServer;
   ServerPtr metricsServer;
   std::unique_ptr<transport::HttpClient> upstreamClient;
-  std::unique_ptr<transport::HttpClient> orderClient;
+  std::unique_ptr<transport::HttpClient> leaseClient;
   std::unique_ptr<transport::PeerNetwork> network;
   std::unordered_map<routing::RequestNumber, transport::HttpClient::CallId>
     calls;
   boost::asio::steady_timer tick;
   boost::asio::steady_timer dispatchTimer;
-  TimePoint dispatchDue = TimePoint::max();
+  TimePoint dispatchDueAt = TimePoint::max();
   // No configuration is read before that; see ApplyOperatorRows.
-  TimePoint configurationDue;
+  TimePoint configurationDueAt;
   // Version of the row that was read last.
-  state::Version configurationRow = 0;
+  state::Version configurationRowVersion = 0;
   // When connections to others were looked over last.
-  TimePoint dialledAt;
+  TimePoint connectionsUpdatedAt;
   // A host that claimed keys and was never heard here; see Assigner::Hooks.
-  state::HostId claimant;
-  bool isStoreWell = true;
+  state::HostId unknownClaimant;
+  bool isStoreAvailable = true;
   bool isLeaving = false;
 
   std::atomic<bool> ready{ false };
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -75,7 +75,7 @@
   };
   hooks.isTableFollowedByOthers = [this] { return this->neighbours.Cells().IsDivided(); };
   hooks.firstRowsRead = [this](const state::RowsRead& aRead) {
-    this->OnFirstHosts(aRead);
+    this->OnFirstHostRows(aRead);
   };
   return hooks;
 }
@@ -92,14 +92,14 @@
   });
 }
 
-std::vector<state::HostId> Gateway::Impl::LiveMates() const
+std::vector<state::HostId> Gateway::Impl::LiveCellMembers() const
 {
   std::vector<state::HostId> live = this->peers.LiveCellMembers();
   live.push_back(this->self.host);
   return live;
 }
 
-void Gateway::Impl::ChooseTables(const std::vector<state::HostId>& aLiveMates)
+void Gateway::Impl::UpdateFollowedTables(const std::vector<state::HostId>& aLiveMates)
 {
   const bool isKnown = this->registration->HasReadTable() ||
                        this->tables->Find(kHostTable).version > 0;
@@ -111,14 +111,14 @@
 }
 
 // The largest hosts, the hubs among them, are enough to have the whole from.
-void Gateway::Impl::OnFirstHosts(const state::RowsRead& aRead)
+void Gateway::Impl::OnFirstHostRows(const state::RowsRead& aRead)
 {
   if (!aRead.isPartial) {
     this->tables->OnUpdate({ kHostTable, true, aRead.rows, aRead.version, {} });
   } else if (this->tables->Find(kHostTable).version == 0) {
     this->SetHosts(aRead.rows);
   }
-  this->ChooseTables(this->LiveMates());
+  this->UpdateFollowedTables(this->LiveCellMembers());
 }
 
 void Gateway::Impl::SetHosts(const std::vector<state::StoredRow>& aRows)
@@ -136,15 +136,15 @@
   }
   this->neighbours.SetHosts(std::move(hosts));
   this->upstreams.SetCellRange(this->neighbours.Cells().OwnRange());
-  this->Dial();
+  this->UpdateConnections();
 }
 
-void Gateway::Impl::Dial()
+void Gateway::Impl::UpdateConnections()
 {
-  std::set<state::HostId> assigners = this->keys->Assigners();
+  std::set<state::HostId> assigners = this->keyedServices->Assigners();
   assigners.merge(this->peers.Assigners());
-  if (!this->claimant.value.empty()) {
-    assigners.insert(this->claimant);
+  if (!this->unknownClaimant.value.empty()) {
+    assigners.insert(this->unknownClaimant);
   }
   this->neighbours.SetAssigners(std::move(assigners));
   const PeerTopology::ConnectionChanges dials =
@@ -165,7 +165,7 @@
   if (aFrame.__isset.hostDigest) {
     this->OnDigest(aFrame.hostDigest);
   } else if (aFrame.__isset.keyMapUpdate) {
-    this->keys->OnMapUpdate(aFrame.keyMapUpdate);
+    this->keyedServices->OnMapUpdate(aFrame.keyMapUpdate);
   } else if (aFrame.__isset.tableQuery) {
     this->tables->OnQuery(aFrom.host, aFrame.tableQuery);
   } else if (aFrame.__isset.tableCopy) {
@@ -186,10 +186,10 @@
   std::vector<routing::UpstreamReport> reports;
   std::ranges::transform(aDigest.uses, std::back_inserter(reports), ReportOf);
   this->upstreams.OnPeerReports(id, reports, BootTime());
-  this->keys->OnKeyUses(aDigest.keyUses);
+  this->keyedServices->OnKeyUses(aDigest.keyUses);
   const KnownPeer& peer = this->peers.All().at(id);
   this->tables->OnPeerVersions(peer);
-  for (const auto& update : this->keys->TakeFullMapsFor(peer)) {
+  for (const auto& update : this->keyedServices->TakeFullMapsFor(peer)) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
     static_cast<void>(this->network->Send(id.value, frame));
@@ -224,25 +224,25 @@
     // A connection that went silent stays so; a new one may work.
     this->network->Close(silent.value);
   }
-  const std::vector<state::HostId> live = this->LiveMates();
+  const std::vector<state::HostId> live = this->LiveCellMembers();
   const bool divided = this->neighbours.Cells().IsDivided();
   this->dispatcher->SetHosts(live, divided ? this->neighbours.AllHosts() : live,
                              this->tables->Find(kHostTable).version > 0);
   this->registration->OnTimer();
-  this->ChooseTables(live);
-  if (this->IsConfigurationBehind() && now >= this->configurationDue) {
+  this->UpdateFollowedTables(live);
+  if (this->IsConfigurationOutdated() && now >= this->configurationDueAt) {
     this->ApplyOperatorRows();
   }
-  this->keys->OnTimer();
+  this->keyedServices->OnTimer();
   this->SendKeyMaps();
   this->SendDigests();
-  if (now - this->dialledAt >= kDialPause) {
-    this->dialledAt = now;
-    this->Dial();
-    this->PublishGauges();
+  if (now - this->connectionsUpdatedAt >= kDialPause) {
+    this->connectionsUpdatedAt = now;
+    this->UpdateConnections();
+    this->UpdateGauges();
   }
   this->dispatcher->OnTimer();
-  this->ArmDispatcher();
+  this->ScheduleDispatcher();
   this->tick.expires_after(kTick);
   this->tick.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
@@ -255,16 +255,16 @@
 // lost, hundreds of ranges change one by one.
 void Gateway::Impl::SendKeyMaps()
 {
-  const std::vector<std::string> all{ this->reachable.begin(),
-                                      this->reachable.end() };
-  for (const auto& update : this->keys->TakeMapUpdates()) {
+  const std::vector<std::string> all{ this->connectedPeers.begin(),
+                                      this->connectedPeers.end() };
+  for (const auto& update : this->keyedServices->TakeMapUpdates()) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
     this->network->SendToAll(all, frame);
   }
 }
 
-bool Gateway::Impl::AreUpstreamsSettled() const
+bool Gateway::Impl::AreRemovedUpstreamsExpired() const
 {
   return std::ranges::none_of(this->upstreams.All(), [](const auto& aItem) {
     return aItem.second.removeAt.has_value();
@@ -278,18 +278,18 @@
   digest.sender.__set_incarnation(this->self.incarnation);
   digest.__set_number(this->peers.NextDigest());
   digest.__set_leaving(this->isLeaving);
-  digest.__set_reachesStore(this->isStoreWell);
+  digest.__set_reachesStore(this->isStoreAvailable);
   this->tables->AddVersionsTo(digest);
-  digest.__set_keyMaps(this->keys->MapVersions());
+  digest.__set_keyMaps(this->keyedServices->MapVersions());
   return digest;
 }
 
 void Gateway::Impl::SendDigests()
 {
   const PeerTopology::DigestRecipients due =
-    this->neighbours.TakeDigestRecipients(this->reachable,
+    this->neighbours.TakeDigestRecipients(this->connectedPeers,
                                           this->dispatcher->LoadChangeCount());
-  this->keys->OnKeyUses(this->keys->TakeKeyUses(this->self.host));
+  this->keyedServices->OnKeyUses(this->keyedServices->TakeKeyUses(this->self.host));
   if (due.full.empty() && due.brief.empty()) {
     return;
   }
@@ -309,7 +309,7 @@
 {
   protocol::Frame frame;
   std::erase_if(aHosts, [&](const std::string& aHost) {
-    const auto uses = this->keys->TakeKeyUses({ aHost });
+    const auto uses = this->keyedServices->TakeKeyUses({ aHost });
     if (uses.empty()) {
       return false;
     }
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -18,7 +18,7 @@
 
 using std::chrono::milliseconds;
 
-TableReplication::Hooks Gateway::Impl::SpreadHooks()
+TableReplication::Hooks Gateway::Impl::TableReplicationHooks()
 {
   TableReplication::Hooks hooks;
   hooks.now = BootTime;
@@ -44,7 +44,7 @@
     this->OnTableChanged(aTable, aChanged, aGrace);
   };
   hooks.isSettled = [this](const std::string& aTable) {
-    return aTable != platform::kUpstreamTable || this->AreUpstreamsSettled();
+    return aTable != platform::kUpstreamTable || this->AreRemovedUpstreamsExpired();
   };
   hooks.caughtUp = [this](const std::string& aTable, Duration aBehind) {
     this->OnCaughtUp(aTable, aBehind);
@@ -114,9 +114,9 @@
   if (row != copy.rows.end()) {
     this->ApplyConfiguration(row->second);
   }
-  this->keys->OnUpstreamsChanged();
+  this->keyedServices->OnUpstreamsChanged();
   this->dispatcher->RecheckWaitingRequests();
-  this->ArmDispatcher();
+  this->ScheduleDispatcher();
 }
 
 // Failure: a configuration of some thousand routes takes a small host a tenth
@@ -129,14 +129,14 @@
   // Well within what operators grant for a change to come into force.
   constexpr milliseconds kMostPause{ 300 };
   const TimePoint begin = BootTime();
-  if (aRow.version <= this->configurationRow) {
+  if (aRow.version <= this->configurationRowVersion) {
     return;
   }
-  if (begin < this->configurationDue) {
+  if (begin < this->configurationDueAt) {
     // The tick comes back to it.
     return;
   }
-  this->configurationRow = aRow.version;
+  this->configurationRowVersion = aRow.version;
   auto configuration = platform::ParseConfiguration(aRow.value);
   if (!configuration) {
     this->log.Write(Event::kConfigurationInvalid,
@@ -156,25 +156,25 @@
       keyed.insert(service.name);
     }
   }
-  this->keys->SetServices(keyed);
+  this->keyedServices->SetServices(keyed);
   const routing::CallerLimits& limits =
     this->routes->CurrentConfiguration().limits;
   this->callerServer->SetLimits(limits.maxHeaderBytes, limits.maxBodyBytes,
                                 limits.headerTimeout, limits.idleTimeout);
   const TimePoint end = BootTime();
-  this->configurationDue =
+  this->configurationDueAt =
     end + std::min<Duration>(kMostPause, kPausePerRead * (end - begin));
   this->log.Write(
     Event::kConfigurationInForce,
     { { "version", this->routes->CurrentConfiguration().version } });
 }
 
-bool Gateway::Impl::IsConfigurationBehind() const
+bool Gateway::Impl::IsConfigurationOutdated() const
 {
   const auto& rows =
     this->tables->Find(std::string(platform::kOperatorTable)).rows;
   const auto row = rows.find(std::string(platform::kConfigurationKey));
-  return row != rows.end() && row->second.version > this->configurationRow;
+  return row != rows.end() && row->second.version > this->configurationRowVersion;
 }
 
 void Gateway::Impl::ApplyUpstreamRows(
@@ -206,12 +206,12 @@
           { "version", row.version } });
     }
   }
-  this->keys->OnUpstreamsChanged();
+  this->keyedServices->OnUpstreamsChanged();
   this->dispatcher->RecheckWaitingRequests();
-  this->ArmDispatcher();
+  this->ScheduleDispatcher();
 }
 
-void Gateway::Impl::PublishGauges()
+void Gateway::Impl::UpdateGauges()
 {
   const auto set = [this](const char* aName, const char* aHelp,
                           std::int64_t aValue) {
@@ -224,9 +224,9 @@
   set("kumquat_peers", "Peers heard within the last second.",
       static_cast<std::int64_t>(this->peers.LiveCellMembers().size()));
   set("kumquat_store_well", "1 where the store answers.",
-      this->isStoreWell ? 1 : 0);
+      this->isStoreAvailable ? 1 : 0);
   set("kumquat_assigner", "1 where this host assigns keys of a service.",
-      this->keys->IsAssigner() ? 1 : 0);
+      this->keyedServices->IsAssigner() ? 1 : 0);
   set("kumquat_log_lines_dropped",
       "Log lines dropped since the start, as nobody read them.",
       static_cast<std::int64_t>(this->log.DroppedLines()));
