--- a/src/node/internal/nodehooks.cpp
+++ b/src/node/internal/nodehooks.cpp
@@ -30,7 +30,7 @@
   hooks.setAddress = [this](const state::HostId& aHost,
                             const std::string& aAddress) {
     this->callers.Hand([this, aHost, aAddress] {
-      this->peers->SetAddress(aHost.value, aAddress);
+      this->peerNetwork->SetAddress(aHost.value, aAddress);
     });
   };
   hooks.sendUpstream = [this](UpstreamCall aCall) {
@@ -82,7 +82,7 @@
       this->onDeposed();
     }
   };
-  hooks.countRetry = [this](ErrorKind aKind) { this->CountTry(aKind); };
+  hooks.countRetry = [this](ErrorKind aKind) { this->CountRetry(aKind); };
   hooks.fetchObject = [this](const std::string& aName,
                              std::function<void(Result<std::string>)> aDone) {
     this->FetchObject(aName, std::move(aDone));
@@ -93,7 +93,7 @@
   return hooks;
 }
 
-bool Node::Impl::OnPlatform(Task aTask)
+bool Node::Impl::TryRunOnPlatform(Task aTask)
 {
   return this->platform.TryHand(aTask);
 }
@@ -105,8 +105,8 @@
                        state::TableHooks::QueryDone aDone) {
     auto done =
       std::make_shared<state::TableHooks::QueryDone>(std::move(aDone));
-    const bool handed = this->OnPlatform([this, aPartition, done] {
-      this->table->Query(
+    const bool handed = this->TryRunOnPlatform([this, aPartition, done] {
+      this->tableClient->Query(
         aPartition, [this, done](Result<std::vector<state::Row>> aRows) {
           this->coordination.Hand([done, rows = std::move(aRows)]() mutable {
             (*done)(std::move(rows));
@@ -123,8 +123,8 @@
     auto done =
       std::make_shared<state::TableHooks::WriteDone>(std::move(aDone));
     const bool handed =
-      this->OnPlatform([this, writes = std::move(aWrites), done]() mutable {
-        this->table->Write(
+      this->TryRunOnPlatform([this, writes = std::move(aWrites), done]() mutable {
+        this->tableClient->Write(
           std::move(writes), [this, done](state::WriteOutcome aOutcome) {
             this->coordination.Hand([done, aOutcome] { (*done)(aOutcome); });
           });
@@ -176,7 +176,7 @@
     coordination::OperatorHooks{ .token = this->settings.operatorToken,
                                  .metrics =
                                    [this] {
-                                     this->PublishRings();
+                                     this->UpdateRingMetrics();
                                      return this->metrics.Text();
                                    },
                                  .table = pushing,
@@ -193,9 +193,9 @@
 {
   auto done =
     std::make_shared<std::function<void(std::error_code)>>(std::move(aDone));
-  const bool handed = this->OnPlatform(
+  const bool handed = this->TryRunOnPlatform(
     [this, aName, content = std::move(aContent), done]() mutable {
-      this->objects->Put(
+      this->objectClient->Put(
         aName, std::move(content), [this, done](std::error_code aError) {
           this->coordination.Hand([done, aError] { (*done)(aError); });
         });
@@ -211,8 +211,8 @@
 {
   auto done = std::make_shared<std::function<void(Result<std::string>)>>(
     std::move(aDone));
-  const bool handed = this->OnPlatform([this, aName, done] {
-    this->objects->Get(aName, [this, done](Result<std::string> aText) {
+  const bool handed = this->TryRunOnPlatform([this, aName, done] {
+    this->objectClient->Get(aName, [this, done](Result<std::string> aText) {
       this->coordination.Hand([done, text = std::move(aText)]() mutable {
         (*done)(std::move(text));
       });
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -59,7 +59,7 @@
   , platform(aSettings.ringSize)
   , tick(this->coordination.Context())
 {
-  this->answered = &this->metrics.GetOrCreateCounter(
+  this->answeredRequests = &this->metrics.GetOrCreateCounter(
     "kumquat_answers_total", "Requests answered by an upstream.");
 }
 
@@ -93,11 +93,11 @@
     this->platformClient->Send(aAddress, std::move(aRequest), aTimeout,
                                std::move(aDone));
   };
-  this->table =
+  this->tableClient =
     std::make_unique<state::TableClient>(this->settings.tableAddress, send);
-  this->objects =
+  this->objectClient =
     std::make_unique<state::ObjectClient>(this->settings.objectAddress, send);
-  this->list = std::make_unique<state::EndpointListClient>(
+  this->endpointListClient = std::make_unique<state::EndpointListClient>(
     this->settings.listAddress, send);
   const std::string& advertised = this->settings.advertisedPeerAddress;
   this->router = std::make_unique<coordination::Router>(
@@ -133,11 +133,11 @@
   options.maxConnections = this->settings.maxConnections;
   options.handler = [this](HttpRequest aRequest,
                            const transport::HttpServer::Respond& aRespond) {
-    this->OnCaller(std::move(aRequest), aRespond);
+    this->OnCallerRequest(std::move(aRequest), aRespond);
   };
   options.refuse = [this](transport::ServerRefusal aRefusal) {
     const ErrorKind kind = ErrorKindOf(aRefusal);
-    return this->Count(kind, MakeErrorResponse(kind));
+    return this->CountAnswer(kind, MakeErrorResponse(kind));
   };
   return TakeListener(
     transport::HttpServer::Listen(this->callers.Context(), std::move(options)),
@@ -152,7 +152,7 @@
   options.maxConnections = kOperatorConnections;
   options.handler = [this](const HttpRequest& aRequest,
                            const transport::HttpServer::Respond& aRespond) {
-    this->OnOperator(aRequest, aRespond);
+    this->OnOperatorRequest(aRequest, aRespond);
   };
   return TakeListener(
     transport::HttpServer::Listen(this->callers.Context(), std::move(options)),
@@ -171,9 +171,9 @@
   options.onUp = [this](const protocol::HostRef& aPeer, bool aUp) {
     Task task = [this, aPeer, aUp] {
       if (aUp) {
-        this->reachable.insert(aPeer.host);
+        this->connectedPeers.insert(aPeer.host);
       } else {
-        this->reachable.erase(aPeer.host);
+        this->connectedPeers.erase(aPeer.host);
       }
       this->router->OnPeer(FromWire(aPeer), aUp);
     };
@@ -185,16 +185,16 @@
   };
   return TakeListener(
     transport::PeerNetwork::Listen(this->callers.Context(), std::move(options)),
-    this->peers);
+    this->peerNetwork);
 }
 
-void Node::Impl::OnCaller(HttpRequest&& aRequest,
+void Node::Impl::OnCallerRequest(HttpRequest&& aRequest,
                           const transport::HttpServer::Respond& aRespond)
 {
   auto request = ToCallerRequest(std::move(aRequest), Now());
   if (!request) {
     const auto kind = static_cast<ErrorKind>(request.error().value());
-    aRespond(this->Count(kind, MakeErrorResponse(kind)));
+    aRespond(this->CountAnswer(kind, MakeErrorResponse(kind)));
     return;
   }
   this->lastArrival.store(Now().time_since_epoch().count());
@@ -206,24 +206,24 @@
       std::move(request),
       [this, arrived, service, aRespond](RequestResult aResult) {
         const ErrorKind kind = aResult.error;
-        this->Observe(service, Now() - arrived);
+        this->ObserveLatency(service, Now() - arrived);
         if (aResult.response.rest) {
           aResult.response.rest =
-            this->ReadOnCoordination(std::move(aResult.response.rest));
+            this->ReadBodyOnCoordination(std::move(aResult.response.rest));
         }
-        aRespond(this->Count(kind, ToHttpResponse(std::move(aResult))));
+        aRespond(this->CountAnswer(kind, ToHttpResponse(std::move(aResult))));
       });
   };
   if (!this->coordination.TryHand(task)) {
     aRespond(
-      this->Count(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
+      this->CountAnswer(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
   }
 }
 
-HttpResponse Node::Impl::Count(ErrorKind aKind, HttpResponse&& aResponse)
+HttpResponse Node::Impl::CountAnswer(ErrorKind aKind, HttpResponse&& aResponse)
 {
   if (aKind == ErrorKind::kNone) {
-    this->answered->Add();
+    this->answeredRequests->Add();
   } else {
     this->refusals.Add(aKind);
   }
@@ -232,7 +232,7 @@
 
 // Until the answer's head; only for services of the configuration, as callers
 // could otherwise grow the registry with names of their own.
-void Node::Impl::Observe(const state::ServiceName& aService, Duration aTook)
+void Node::Impl::ObserveLatency(const state::ServiceName& aService, Duration aTook)
 {
   if (this->router->Configuration().Find(aService) == nullptr) {
     return;
@@ -247,7 +247,7 @@
   summary->Observe(aTook);
 }
 
-void Node::Impl::PublishRings()
+void Node::Impl::UpdateRingMetrics()
 {
   const std::pair<const char*, const transport::DutyThread*> rings[] = {
     { "callers", &this->callers },
@@ -269,12 +269,12 @@
     .Set(static_cast<std::int64_t>(this->log.DroppedLines()));
 }
 
-void Node::Impl::CountTry(ErrorKind aKind)
+void Node::Impl::CountRetry(ErrorKind aKind)
 {
   this->retries.Add(aKind);
 }
 
-void Node::Impl::OnOperator(const HttpRequest& aRequest,
+void Node::Impl::OnOperatorRequest(const HttpRequest& aRequest,
                             const transport::HttpServer::Respond& aRespond)
 {
   if (aRequest.target == "/ready") {
@@ -287,7 +287,7 @@
   };
   if (!this->coordination.TryHand(task)) {
     aRespond(
-      this->Count(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
+      this->CountAnswer(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
   }
 }
 
@@ -309,7 +309,7 @@
 {
   this->log.Write(Event::kRingFull, { { "ring", "coordination" } });
   if (!aFrame.__isset.forward) {
-    this->peers->Close(aFrom.host);
+    this->peerNetwork->Close(aFrom.host);
     return;
   }
   protocol::ForwardReply reply;
@@ -318,7 +318,7 @@
   frame.__set_correlation(aFrame.correlation);
   frame.__set_reply(true);
   frame.__set_forwardReply(reply);
-  static_cast<void>(this->peers->Send(aFrom.host, frame));
+  static_cast<void>(this->peerNetwork->Send(aFrom.host, frame));
 }
 
 void Node::Impl::SendUpstream(UpstreamCall&& aCall)
@@ -336,7 +336,7 @@
 void Node::Impl::OnUpstreamAnswer(RequestId aId, Result<HttpResponse> aAnswer)
 {
   if (aAnswer && aAnswer->rest) {
-    aAnswer->rest = this->CarryBody(aId, std::move(aAnswer->rest));
+    aAnswer->rest = this->ReadBodyOnUpstreams(aId, std::move(aAnswer->rest));
   }
   this->coordination.Hand([this, aId, answer = std::move(aAnswer)]() mutable {
     this->router->OnUpstreamAnswer(aId, std::move(answer));
@@ -347,7 +347,7 @@
 // where each piece is read and where the reader is taken down. Pieces come back
 // on coordination's thread, as everything there is unguarded. When the reader
 // is dropped, read to its end or not, the steward gets its slot back.
-BodyReader Node::Impl::CarryBody(RequestId aId, BodyReader aReader)
+BodyReader Node::Impl::ReadBodyOnUpstreams(RequestId aId, BodyReader aReader)
 {
   const std::shared_ptr<BodyReader> reader(
     new BodyReader(std::move(aReader)), [this, aId](BodyReader* aOwned) {
@@ -368,7 +368,7 @@
 
 // The callers' server reads the body; what it reads from belongs to
 // coordination, and so does its end.
-BodyReader Node::Impl::ReadOnCoordination(BodyReader aReader)
+BodyReader Node::Impl::ReadBodyOnCoordination(BodyReader aReader)
 {
   const std::shared_ptr<BodyReader> reader(
     new BodyReader(std::move(aReader)), [this](BodyReader* aOwned) {
@@ -383,13 +383,13 @@
 bool Node::Impl::SendToPeer(const state::HostId& aHost,
                             const protocol::Frame& aFrame)
 {
-  if (!this->reachable.contains(aHost.value)) {
+  if (!this->connectedPeers.contains(aHost.value)) {
     return false;
   }
   this->callers.Hand([this, host = aHost.value, frame = aFrame] {
     // Not sent after all: closing tells the asker, whose call is then lost.
-    if (!this->peers->Send(host, frame)) {
-      this->peers->Close(host);
+    if (!this->peerNetwork->Send(host, frame)) {
+      this->peerNetwork->Close(host);
     }
   });
   return true;
@@ -399,7 +399,7 @@
 {
   this->router->OnTimer();
   this->PollEndpoints();
-  this->Publish();
+  this->PublishReadiness();
   this->tick.expires_after(kTick);
   this->tick.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
@@ -408,7 +408,7 @@
   });
 }
 
-void Node::Impl::Publish()
+void Node::Impl::PublishReadiness()
 {
   const bool nowReady = this->router->IsReady();
   if (this->ready.exchange(nowReady) != nowReady) {
@@ -419,22 +419,22 @@
 
 void Node::Impl::PollEndpoints()
 {
-  if (this->endpointsAsked || Now() < this->endpointsDue) {
+  if (this->isPollingEndpoints || Now() < this->endpointsDueAt) {
     return;
   }
-  this->endpointsAsked = true;
-  const bool handed = this->OnPlatform([this] {
-    this->list->Fetch([this](Result<state::EndpointList> aList) {
+  this->isPollingEndpoints = true;
+  const bool handed = this->TryRunOnPlatform([this] {
+    this->endpointListClient->Fetch([this](Result<state::EndpointList> aList) {
       this->coordination.Hand([this, list = std::move(aList)]() mutable {
-        this->endpointsAsked = false;
-        this->endpointsDue = Now() + kPollEndpointsEvery;
+        this->isPollingEndpoints = false;
+        this->endpointsDueAt = Now() + kPollEndpointsEvery;
         if (list) {
           this->router->OnEndpoints(std::move(*list));
         }
       });
     });
   });
-  this->endpointsAsked = handed;
+  this->isPollingEndpoints = handed;
 }
 
 bool Node::Impl::Stop(milliseconds aMost)
--- a/src/node/internal/nodeimpl.h
+++ b/src/node/internal/nodeimpl.h
@@ -56,23 +56,23 @@
   state::TableHooks TableHooks();
 
   // Callers' thread.
-  void OnCaller(transport::HttpRequest&& aRequest,
+  void OnCallerRequest(transport::HttpRequest&& aRequest,
                 const transport::HttpServer::Respond& aRespond);
-  void OnOperator(const transport::HttpRequest& aRequest,
+  void OnOperatorRequest(const transport::HttpRequest& aRequest,
                   const transport::HttpServer::Respond& aRespond);
   void OnFrame(const protocol::HostRef& aFrom, protocol::Frame aFrame);
   void RefuseFrame(const protocol::HostRef& aFrom,
                    const protocol::Frame& aFrame);
-  transport::HttpResponse Count(protocol::ErrorKind aKind,
+  transport::HttpResponse CountAnswer(protocol::ErrorKind aKind,
                                 transport::HttpResponse&& aResponse);
 
   // Upstreams' thread.
   void SendUpstream(coordination::UpstreamCall&& aCall);
   void OnUpstreamAnswer(coordination::RequestId aId,
                         Result<transport::HttpResponse> aAnswer);
-  transport::BodyReader CarryBody(coordination::RequestId aId,
+  transport::BodyReader ReadBodyOnUpstreams(coordination::RequestId aId,
                                   transport::BodyReader aReader);
-  transport::BodyReader ReadOnCoordination(transport::BodyReader aReader);
+  transport::BodyReader ReadBodyOnCoordination(transport::BodyReader aReader);
 
   // Coordination's thread.
   bool SendToPeer(const state::HostId& aHost, const protocol::Frame& aFrame);
@@ -82,13 +82,13 @@
                  std::function<void(std::error_code)> aDone);
   void FetchObject(const std::string& aName,
                    std::function<void(Result<std::string>)> aDone);
-  void Publish();
+  void PublishReadiness();
 
   // Runs aTask on the platform's thread; False where its ring is full.
-  bool OnPlatform(Task aTask);
-  void CountTry(protocol::ErrorKind aKind);
-  void Observe(const state::ServiceName& aService, Duration aTook);
-  void PublishRings();
+  bool TryRunOnPlatform(Task aTask);
+  void CountRetry(protocol::ErrorKind aKind);
+  void ObserveLatency(const state::ServiceName& aService, Duration aTook);
+  void UpdateRingMetrics();
 
   const state::Settings settings;
   const state::HostRef self;
@@ -96,7 +96,7 @@
   Metrics metrics;
   protocol::ErrorCounters refusals;
   protocol::ErrorCounters retries;
-  Counter* answered = nullptr;
+  Counter* answeredRequests = nullptr;
   // Coordination's thread.
   std::map<state::ServiceName, Summary*> latencies;
   EventLog log;
@@ -115,14 +115,14 @@
 
   std::unique_ptr<transport::HttpServer> callerServer;
   std::unique_ptr<transport::HttpServer> operatorServer;
-  std::unique_ptr<transport::PeerNetwork> peers;
+  std::unique_ptr<transport::PeerNetwork> peerNetwork;
   std::unique_ptr<transport::HttpClient> upstreamClient;
   // Control calls: their answers carry no request id.
   std::unique_ptr<transport::HttpClient> controlClient;
   std::unique_ptr<transport::HttpClient> platformClient;
-  std::unique_ptr<state::TableClient> table;
-  std::unique_ptr<state::ObjectClient> objects;
-  std::unique_ptr<state::EndpointListClient> list;
+  std::unique_ptr<state::TableClient> tableClient;
+  std::unique_ptr<state::ObjectClient> objectClient;
+  std::unique_ptr<state::EndpointListClient> endpointListClient;
   // By the core's number of the request: the client's. Upstreams' thread.
   std::unordered_map<coordination::RequestId, transport::HttpClient::CallId>
     clientCalls;
@@ -131,10 +131,10 @@
   std::unique_ptr<state::ConfigurationWriter> configurationWriter;
   std::unique_ptr<coordination::OperatorApi> operatorApi;
   boost::asio::steady_timer tick;
-  TimePoint endpointsDue;
-  bool endpointsAsked = false;
+  TimePoint endpointsDueAt;
+  bool isPollingEndpoints = false;
   // Coordination's thread: peers that can be sent to.
-  std::set<std::string> reachable;
+  std::set<std::string> connectedPeers;
 };
 
 } // namespace kumquat::node
