--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -76,9 +76,9 @@
   , storeThread(kRing)
   , peers(this->self, BootTime,
           [this](const state::HostId& aHost) {
-            return this->neighbours.IsCellMember(aHost);
+            return this->topology.IsCellMember(aHost);
           })
-  , neighbours({ aSettings.host, aSettings.dataCentre, aSettings.processors },
+  , topology({ aSettings.host, aSettings.dataCentre, aSettings.processors },
                { BootTime,
                  [this](const state::HostId& aHost) {
                    return this->peers.LastHeardAt(aHost);
@@ -117,14 +117,14 @@
                                 this->settings.resendShare,
                                 this->settings.resendExtra },
     this->upstreams, this->DispatcherHooks());
-  this->tables = std::make_unique<TableReplication>(
-    this->neighbours, this->peers, this->connectedPeers, this->settings.isFirstStart,
+  this->replication = std::make_unique<TableReplication>(
+    this->topology, this->peers, this->connectedPeers, this->settings.isFirstStart,
     this->TableReplicationHooks());
   this->registration = std::make_unique<Registration>(
     HostRow{ this->settings.host, this->settings.peerAddress,
              this->settings.dataCentre, this->settings.processors },
     this->settings.isFirstStart, this->RegistrationHooks());
-  this->store = std::make_unique<StoreClient>(
+  this->storeClient = std::make_unique<StoreClient>(
     this->storeThread, this->settings.storeAddress,
     IpOf(this->settings.peerAddress),
     std::vector<std::string>{ std::string(platform::kOperatorTable),
@@ -133,12 +133,12 @@
     StoreClient::Hooks{
       [this](TableUpdate aNews) {
         this->serving.Hand(
-          [this, news = std::move(aNews)] { this->tables->OnUpdate(news); });
+          [this, news = std::move(aNews)] { this->replication->OnUpdate(news); });
       },
       [this](bool aWell) {
         this->serving.Hand([this, aWell] {
           this->isStoreAvailable = aWell;
-          this->tables->SetStoreAvailable(aWell);
+          this->replication->SetStoreAvailable(aWell);
           this->log.Write(aWell ? Event::kStoreBack : Event::kStoreDown);
           this->keyedServices->SetStoreAvailable(aWell);
         });
@@ -222,7 +222,7 @@
   options.onUp = [this](const protocol::HostRef& aPeer, bool aUp) {
     if (aUp) {
       this->connectedPeers.insert(aPeer.host);
-      this->tables->OnPeerUp({ aPeer.host });
+      this->replication->OnPeerUp({ aPeer.host });
     } else {
       this->connectedPeers.erase(aPeer.host);
     }
@@ -281,7 +281,7 @@
   hooks.read = [this](const std::string& aTable, const std::string& aPart,
                       state::RowStore::ReadDone aDone) {
     this->storeThread.Hand([this, aTable, aPart, done = std::move(aDone)] {
-      this->store->Rows().Read(
+      this->storeClient->Rows().Read(
         aTable, aPart, [this, done](Result<state::RowsRead> aRead) {
           this->serving.Hand([done, read = std::move(aRead)]() mutable {
             done(std::move(read));
@@ -298,15 +298,15 @@
     this->SendLeaseCommand(aOrder, std::move(aDone));
   };
   hooks.preference = [this](const state::HostId& aHost) {
-    return this->neighbours.DutyPreference(aHost);
+    return this->topology.DutyPreference(aHost);
   };
   hooks.requestConnection = [this](const state::HostRef& aClaimant) {
     this->unknownClaimant = aClaimant.host;
     this->UpdateConnections();
   };
-  hooks.followsStore = [this] { return this->tables->IsFollowing(); };
+  hooks.followsStore = [this] { return this->replication->IsFollowing(); };
   hooks.publishMaps = [this] {
-    if (!this->neighbours.Cells().IsDivided()) {
+    if (!this->topology.Cells().IsDivided()) {
       this->SendKeyMaps();
     }
   };
@@ -444,7 +444,7 @@
       { "queued", static_cast<std::int64_t>(aTrace.queued) },
       { "configuration", aTrace.configuration },
       { "upstreams_version",
-        this->tables->Find(std::string(platform::kUpstreamTable)).version } });
+        this->replication->Find(std::string(platform::kUpstreamTable)).version } });
 }
 
 void Gateway::Impl::ScheduleDispatcher()
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -116,13 +116,13 @@
   // Serving thread.
   routing::Upstreams upstreams;
   Peers peers;
-  PeerTopology neighbours;
+  PeerTopology topology;
   std::unique_ptr<KeyedServices> keyedServices;
   std::unique_ptr<routing::Dispatcher> dispatcher;
   std::shared_ptr<const routing::RouteTable> routes;
   // Peers with a connection.
   std::set<std::string> connectedPeers;
-  std::unique_ptr<TableReplication> tables;
+  std::unique_ptr<TableReplication> replication;
   std::unique_ptr<Registration> registration;
   ServerPtr callerServer;
   ServerPtr readinessServer;
@@ -149,7 +149,7 @@
   std::atomic<bool> ready{ false };
   std::atomic<bool> stopping{ false };
 
-  std::unique_ptr<StoreClient> store;
+  std::unique_ptr<StoreClient> storeClient;
 };
 
 } // namespace kumquat::node
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -58,7 +58,7 @@
   hooks.now = BootTime;
   hooks.readFirstRows = [this](state::RowStore::ReadDone aDone) {
     this->storeThread.Hand([this, done = std::move(aDone)] {
-      this->store->Rows().ReadFirst(
+      this->storeClient->Rows().ReadFirst(
         kHostTable, "", kFirstHosts,
         [this, done](Result<state::RowsRead> aRead) {
           this->serving.Hand([done, read = std::move(aRead)]() mutable {
@@ -73,7 +73,7 @@
     write.puts.push_back(aRow);
     this->WriteRows(write, std::move(aDone));
   };
-  hooks.isTableFollowedByOthers = [this] { return this->neighbours.Cells().IsDivided(); };
+  hooks.isTableFollowedByOthers = [this] { return this->topology.Cells().IsDivided(); };
   hooks.firstRowsRead = [this](const state::RowsRead& aRead) {
     this->OnFirstHostRows(aRead);
   };
@@ -84,7 +84,7 @@
                               state::RowStore::WriteDone aDone)
 {
   this->storeThread.Hand([this, aWrite, done = std::move(aDone)] {
-    this->store->Rows().Write(aWrite, [this, done](state::WriteOutcome aOutcome,
+    this->storeClient->Rows().Write(aWrite, [this, done](state::WriteOutcome aOutcome,
                                                    state::Version aVersion) {
       this->serving.Hand(
         [done, aOutcome, aVersion] { done(aOutcome, aVersion); });
@@ -102,20 +102,20 @@
 void Gateway::Impl::UpdateFollowedTables(const std::vector<state::HostId>& aLiveMates)
 {
   const bool isKnown = this->registration->HasReadTable() ||
-                       this->tables->Find(kHostTable).version > 0;
-  this->tables->SetHostListState(isKnown ? HostListState::kKnown
+                       this->replication->Find(kHostTable).version > 0;
+  this->replication->SetHostListState(isKnown ? HostListState::kKnown
                                  : this->registration->HasLastReadFailed()
                                    ? HostListState::kUnavailable
                                    : HostListState::kUnknown);
-  this->tables->OnTimer(aLiveMates);
+  this->replication->OnTimer(aLiveMates);
 }
 
 // The largest hosts, the hubs among them, are enough to have the whole from.
 void Gateway::Impl::OnFirstHostRows(const state::RowsRead& aRead)
 {
   if (!aRead.isPartial) {
-    this->tables->OnUpdate({ kHostTable, true, aRead.rows, aRead.version, {} });
-  } else if (this->tables->Find(kHostTable).version == 0) {
+    this->replication->OnUpdate({ kHostTable, true, aRead.rows, aRead.version, {} });
+  } else if (this->replication->Find(kHostTable).version == 0) {
     this->SetHosts(aRead.rows);
   }
   this->UpdateFollowedTables(this->LiveCellMembers());
@@ -134,8 +134,8 @@
     hosts.push_back(
       { { host->host, host->dataCentre, host->processors }, host->address });
   }
-  this->neighbours.SetHosts(std::move(hosts));
-  this->upstreams.SetCellRange(this->neighbours.Cells().OwnRange());
+  this->topology.SetHosts(std::move(hosts));
+  this->upstreams.SetCellRange(this->topology.Cells().OwnRange());
   this->UpdateConnections();
 }
 
@@ -146,9 +146,9 @@
   if (!this->unknownClaimant.value.empty()) {
     assigners.insert(this->unknownClaimant);
   }
-  this->neighbours.SetAssigners(std::move(assigners));
+  this->topology.SetAssigners(std::move(assigners));
   const PeerTopology::ConnectionChanges dials =
-    this->neighbours.TakeConnectionChanges();
+    this->topology.TakeConnectionChanges();
   for (const auto& [host, address] : dials.toOpen) {
     this->network->SetAddress(host.value, address);
   }
@@ -167,15 +167,15 @@
   } else if (aFrame.__isset.keyMapUpdate) {
     this->keyedServices->OnMapUpdate(aFrame.keyMapUpdate);
   } else if (aFrame.__isset.tableQuery) {
-    this->tables->OnQuery(aFrom.host, aFrame.tableQuery);
+    this->replication->OnQuery(aFrom.host, aFrame.tableQuery);
   } else if (aFrame.__isset.tableCopy) {
     this->log.Write(Event::kTableFromPeer,
                     { { "peer", aFrom.host },
                       { "table", aFrame.tableCopy.table },
                       { "version", aFrame.tableCopy.version } });
-    this->tables->OnCopy(aFrame.tableCopy);
+    this->replication->OnCopy(aFrame.tableCopy);
   } else if (aFrame.__isset.tableChange) {
-    this->tables->OnChange(aFrame.tableChange);
+    this->replication->OnChange(aFrame.tableChange);
   }
 }
 
@@ -188,7 +188,7 @@
   this->upstreams.OnPeerReports(id, reports, BootTime());
   this->keyedServices->OnKeyUses(aDigest.keyUses);
   const KnownPeer& peer = this->peers.All().at(id);
-  this->tables->OnPeerVersions(peer);
+  this->replication->OnPeerVersions(peer);
   for (const auto& update : this->keyedServices->TakeFullMapsFor(peer)) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
@@ -209,7 +209,7 @@
     std::chrono::duration_cast<milliseconds>(aBehind).count();
   this->log.Write(Event::kTableCaughtUp,
                   { { "table", aTable },
-                    { "version", this->tables->Find(aTable).version },
+                    { "version", this->replication->Find(aTable).version },
                     { "behind_ms", behindMs } });
 }
 
@@ -225,9 +225,9 @@
     this->network->Close(silent.value);
   }
   const std::vector<state::HostId> live = this->LiveCellMembers();
-  const bool divided = this->neighbours.Cells().IsDivided();
-  this->dispatcher->SetHosts(live, divided ? this->neighbours.AllHosts() : live,
-                             this->tables->Find(kHostTable).version > 0);
+  const bool divided = this->topology.Cells().IsDivided();
+  this->dispatcher->SetHosts(live, divided ? this->topology.AllHosts() : live,
+                             this->replication->Find(kHostTable).version > 0);
   this->registration->OnTimer();
   this->UpdateFollowedTables(live);
   if (this->IsConfigurationOutdated() && now >= this->configurationDueAt) {
@@ -279,7 +279,7 @@
   digest.__set_number(this->peers.NextDigest());
   digest.__set_leaving(this->isLeaving);
   digest.__set_reachesStore(this->isStoreAvailable);
-  this->tables->AddVersionsTo(digest);
+  this->replication->AddVersionsTo(digest);
   digest.__set_keyMaps(this->keyedServices->MapVersions());
   return digest;
 }
@@ -287,7 +287,7 @@
 void Gateway::Impl::SendDigests()
 {
   const PeerTopology::DigestRecipients due =
-    this->neighbours.TakeDigestRecipients(this->connectedPeers,
+    this->topology.TakeDigestRecipients(this->connectedPeers,
                                           this->dispatcher->LoadChangeCount());
   this->keyedServices->OnKeyUses(this->keyedServices->TakeKeyUses(this->self.host));
   if (due.full.empty() && due.brief.empty()) {
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -30,13 +30,13 @@
     this->network->SendToAll(aHosts, aFrame);
   };
   hooks.follow = [this](const FollowedTables& aTables, bool aIsStandIn) {
-    this->store->Follow(aTables, aIsStandIn);
+    this->storeClient->Follow(aTables, aIsStandIn);
   };
   hooks.readFullTable = [this](const std::string& aTable) {
-    this->store->ReadFullTable(aTable);
+    this->storeClient->ReadFullTable(aTable);
   };
   hooks.storeReceivedAt = [this](const std::string& aTable) {
-    return this->store->LastReceivedAt(aTable);
+    return this->storeClient->LastReceivedAt(aTable);
   };
   hooks.rowsChanged = [this](const std::string& aTable,
                              const std::vector<state::StoredRow>& aChanged,
@@ -50,7 +50,7 @@
     this->OnCaughtUp(aTable, aBehind);
   };
   hooks.announceVersions = [this] {
-    this->neighbours.RequestImmediateDigest();
+    this->topology.RequestImmediateDigest();
     this->SendDigests();
   };
   return hooks;
@@ -65,7 +65,7 @@
   } else if (aTable == platform::kUpstreamTable) {
     this->ApplyUpstreamRows(aChanged, aGrace);
   } else {
-    const TableReplica& copy = this->tables->Find(kHostTable);
+    const TableReplica& copy = this->replication->Find(kHostTable);
     std::vector<state::StoredRow> rows;
     std::ranges::transform(copy.rows, std::back_inserter(rows),
                            [](const auto& aItem) { return aItem.second; });
@@ -85,7 +85,7 @@
       { "took_ms",
         std::chrono::duration_cast<milliseconds>(aEnd.took).count() } });
   this->serving.Hand(
-    [this, aEnd] { this->tables->OnReadEnded(aEnd.table, aEnd.took); });
+    [this, aEnd] { this->replication->OnReadEnded(aEnd.table, aEnd.took); });
 }
 
 void Gateway::Impl::OnStoreCall(state::StoreCall aCall,
@@ -102,7 +102,7 @@
 void Gateway::Impl::ApplyOperatorRows()
 {
   const TableReplica& copy =
-    this->tables->Find(std::string(platform::kOperatorTable));
+    this->replication->Find(std::string(platform::kOperatorTable));
   std::set<state::DataCentre> out;
   for (const auto& [key, row] : copy.rows) {
     if (const auto centre = platform::ParseEvacuationRow(key)) {
@@ -172,7 +172,7 @@
 bool Gateway::Impl::IsConfigurationOutdated() const
 {
   const auto& rows =
-    this->tables->Find(std::string(platform::kOperatorTable)).rows;
+    this->replication->Find(std::string(platform::kOperatorTable)).rows;
   const auto row = rows.find(std::string(platform::kConfigurationKey));
   return row != rows.end() && row->second.version > this->configurationRowVersion;
 }
