--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -79,10 +79,10 @@
             return this->topology.IsCellMember(aHost);
           })
   , topology({ aSettings.host, aSettings.dataCentre, aSettings.processors },
-               { BootTime,
-                 [this](const state::HostId& aHost) {
-                   return this->peers.LastHeardAt(aHost);
-                 } })
+             { BootTime,
+               [this](const state::HostId& aHost) {
+                 return this->peers.LastHeardAt(aHost);
+               } })
   , routes(std::make_shared<routing::RouteTable>())
   , tick(this->serving.Context())
   , dispatchTimer(this->serving.Context())
@@ -109,17 +109,17 @@
   options.wholeBodyBytes = kWholeAnswer;
   this->upstreamClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
-  this->keyedServices =
-    std::make_unique<KeyedServices>(this->self, this->settings.maxLease, this->upstreams,
-                           this->peers, this->KeyedServicesHooks());
+  this->keyedServices = std::make_unique<KeyedServices>(
+    this->self, this->settings.maxLease, this->upstreams, this->peers,
+    this->KeyedServicesHooks());
   this->dispatcher = std::make_unique<routing::Dispatcher>(
     routing::DispatcherOptions{ this->settings.host, this->settings.dataCentre,
                                 this->settings.resendShare,
                                 this->settings.resendExtra },
     this->upstreams, this->DispatcherHooks());
   this->replication = std::make_unique<TableReplication>(
-    this->topology, this->peers, this->connectedPeers, this->settings.isFirstStart,
-    this->TableReplicationHooks());
+    this->topology, this->peers, this->connectedPeers,
+    this->settings.isFirstStart, this->TableReplicationHooks());
   this->registration = std::make_unique<Registration>(
     HostRow{ this->settings.host, this->settings.peerAddress,
              this->settings.dataCentre, this->settings.processors },
@@ -132,8 +132,9 @@
                               kHostTable },
     StoreClient::Hooks{
       [this](TableUpdate aNews) {
-        this->serving.Hand(
-          [this, news = std::move(aNews)] { this->replication->OnUpdate(news); });
+        this->serving.Hand([this, news = std::move(aNews)] {
+          this->replication->OnUpdate(news);
+        });
       },
       [this](bool aWell) {
         this->serving.Hand([this, aWell] {
@@ -189,7 +190,8 @@
   options.handler = [this](const HttpRequest&,
                            const transport::HttpServer::Respond& aRespond) {
     const bool up = this->IsReady();
-    aRespond(MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
+    aRespond(
+      MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
   };
   return TakeListener(
     transport::HttpServer::Listen(this->serving.Context(), std::move(options)),
@@ -205,8 +207,8 @@
     aRespond(MakePlainTextResponse(200, this->metrics.Text()));
   };
   return TakeListener(transport::HttpServer::Listen(this->storeThread.Context(),
-                                            std::move(options)),
-              this->metricsServer);
+                                                    std::move(options)),
+                      this->metricsServer);
 }
 
 std::error_code Gateway::Impl::ListenForPeers()
@@ -294,7 +296,7 @@
     this->WriteRows(aWrite, std::move(aDone));
   };
   hooks.sendCommand = [this](const ownership::LeaseCommand& aOrder,
-                       ownership::Assigner::CommandDone aDone) {
+                             ownership::Assigner::CommandDone aDone) {
     this->SendLeaseCommand(aOrder, std::move(aDone));
   };
   hooks.preference = [this](const state::HostId& aHost) {
@@ -325,8 +327,8 @@
 
 // --- requests
 
-void Gateway::Impl::OnCallerRequest(HttpRequest&& aRequest,
-                             const transport::HttpServer::Respond& aRespond)
+void Gateway::Impl::OnCallerRequest(
+  HttpRequest&& aRequest, const transport::HttpServer::Respond& aRespond)
 {
   const auto link = aRequest.link;
   auto request = platform::ParseCallerRequest(std::move(aRequest), BootTime());
@@ -341,7 +343,8 @@
     const routing::Route* route =
       this->routes->FindRoute(request->hostName, request->message.target);
     if (route != nullptr && route->destinations.size() == 1) {
-      this->keyedServices->OnRequest(route->destinations.front().service, *request->key);
+      this->keyedServices->OnRequest(route->destinations.front().service,
+                                     *request->key);
     }
   }
   const routing::RequestNumber number = this->dispatcher->OnRequest(
@@ -384,7 +387,7 @@
 }
 
 void Gateway::Impl::SendLeaseCommand(const ownership::LeaseCommand& aOrder,
-                              ownership::Assigner::CommandDone aDone)
+                                     ownership::Assigner::CommandDone aDone)
 {
   const bool grants = aOrder.kind == ownership::LeaseCommandKind::kGrant;
   this->leaseClient->Send(
@@ -431,20 +434,20 @@
                         ? Event::kRequestRefused
                         : Event::kRequestGivenUp;
   this->log.Write(
-    event,
-    { { "request", aTrace.id },
-      { "route", aTrace.route },
-      { "service", aTrace.service },
-      { "key", aTrace.key ? std::int64_t{ *aTrace.key } : kNoKey },
-      { "reason", answer.name },
-      { "status", static_cast<std::int64_t>(aTrace.status) },
-      { "sends", aTrace.attempts },
-      { "waited_ms", static_cast<std::int64_t>(aTrace.waited.count()) },
-      { "took_ms", static_cast<std::int64_t>(aTrace.took.count()) },
-      { "queued", static_cast<std::int64_t>(aTrace.queued) },
-      { "configuration", aTrace.configuration },
-      { "upstreams_version",
-        this->replication->Find(std::string(platform::kUpstreamTable)).version } });
+    event, { { "request", aTrace.id },
+             { "route", aTrace.route },
+             { "service", aTrace.service },
+             { "key", aTrace.key ? std::int64_t{ *aTrace.key } : kNoKey },
+             { "reason", answer.name },
+             { "status", static_cast<std::int64_t>(aTrace.status) },
+             { "sends", aTrace.attempts },
+             { "waited_ms", static_cast<std::int64_t>(aTrace.waited.count()) },
+             { "took_ms", static_cast<std::int64_t>(aTrace.took.count()) },
+             { "queued", static_cast<std::int64_t>(aTrace.queued) },
+             { "configuration", aTrace.configuration },
+             { "upstreams_version",
+               this->replication->Find(std::string(platform::kUpstreamTable))
+                 .version } });
 }
 
 void Gateway::Impl::ScheduleDispatcher()
@@ -493,8 +496,9 @@
   this->serving.Hand([this] {
     this->isLeaving = true;
     this->keyedServices->Leave();
-    this->SendDigest({ this->connectedPeers.begin(), this->connectedPeers.end() },
-                     this->MakeDigest());
+    this->SendDigest(
+      { this->connectedPeers.begin(), this->connectedPeers.end() },
+      this->MakeDigest());
   });
   std::this_thread::sleep_until(start + kUntilDrain);
   this->callerServer->Drain();
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -61,10 +61,10 @@
 
   // Serving thread.
   void OnCallerRequest(transport::HttpRequest&& aRequest,
-                const transport::HttpServer::Respond& aRespond);
+                       const transport::HttpServer::Respond& aRespond);
   void SendUpstream(const routing::UpstreamRequest& aSend);
   void SendLeaseCommand(const ownership::LeaseCommand& aOrder,
-                 ownership::Assigner::CommandDone aDone);
+                        ownership::Assigner::CommandDone aDone);
   void OnRequestEnded(const routing::RequestTrace& aTrace);
   void OnFrame(const protocol::HostRef& aFrom, const protocol::Frame& aFrame);
   void OnDigest(const protocol::HostDigest& aDigest);
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -73,7 +73,9 @@
     write.puts.push_back(aRow);
     this->WriteRows(write, std::move(aDone));
   };
-  hooks.isTableFollowedByOthers = [this] { return this->topology.Cells().IsDivided(); };
+  hooks.isTableFollowedByOthers = [this] {
+    return this->topology.Cells().IsDivided();
+  };
   hooks.firstRowsRead = [this](const state::RowsRead& aRead) {
     this->OnFirstHostRows(aRead);
   };
@@ -84,11 +86,12 @@
                               state::RowStore::WriteDone aDone)
 {
   this->storeThread.Hand([this, aWrite, done = std::move(aDone)] {
-    this->storeClient->Rows().Write(aWrite, [this, done](state::WriteOutcome aOutcome,
-                                                   state::Version aVersion) {
-      this->serving.Hand(
-        [done, aOutcome, aVersion] { done(aOutcome, aVersion); });
-    });
+    this->storeClient->Rows().Write(
+      aWrite,
+      [this, done](state::WriteOutcome aOutcome, state::Version aVersion) {
+        this->serving.Hand(
+          [done, aOutcome, aVersion] { done(aOutcome, aVersion); });
+      });
   });
 }
 
@@ -99,14 +102,15 @@
   return live;
 }
 
-void Gateway::Impl::UpdateFollowedTables(const std::vector<state::HostId>& aLiveMates)
+void Gateway::Impl::UpdateFollowedTables(
+  const std::vector<state::HostId>& aLiveMates)
 {
   const bool isKnown = this->registration->HasReadTable() ||
                        this->replication->Find(kHostTable).version > 0;
   this->replication->SetHostListState(isKnown ? HostListState::kKnown
-                                 : this->registration->HasLastReadFailed()
-                                   ? HostListState::kUnavailable
-                                   : HostListState::kUnknown);
+                                      : this->registration->HasLastReadFailed()
+                                        ? HostListState::kUnavailable
+                                        : HostListState::kUnknown);
   this->replication->OnTimer(aLiveMates);
 }
 
@@ -114,7 +118,8 @@
 void Gateway::Impl::OnFirstHostRows(const state::RowsRead& aRead)
 {
   if (!aRead.isPartial) {
-    this->replication->OnUpdate({ kHostTable, true, aRead.rows, aRead.version, {} });
+    this->replication->OnUpdate(
+      { kHostTable, true, aRead.rows, aRead.version, {} });
   } else if (this->replication->Find(kHostTable).version == 0) {
     this->SetHosts(aRead.rows);
   }
@@ -288,8 +293,9 @@
 {
   const PeerTopology::DigestRecipients due =
     this->topology.TakeDigestRecipients(this->connectedPeers,
-                                          this->dispatcher->LoadChangeCount());
-  this->keyedServices->OnKeyUses(this->keyedServices->TakeKeyUses(this->self.host));
+                                        this->dispatcher->LoadChangeCount());
+  this->keyedServices->OnKeyUses(
+    this->keyedServices->TakeKeyUses(this->self.host));
   if (due.full.empty() && due.brief.empty()) {
     return;
   }
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -44,7 +44,8 @@
     this->OnTableChanged(aTable, aChanged, aGrace);
   };
   hooks.isSettled = [this](const std::string& aTable) {
-    return aTable != platform::kUpstreamTable || this->AreRemovedUpstreamsExpired();
+    return aTable != platform::kUpstreamTable ||
+           this->AreRemovedUpstreamsExpired();
   };
   hooks.caughtUp = [this](const std::string& aTable, Duration aBehind) {
     this->OnCaughtUp(aTable, aBehind);
@@ -174,7 +175,8 @@
   const auto& rows =
     this->replication->Find(std::string(platform::kOperatorTable)).rows;
   const auto row = rows.find(std::string(platform::kConfigurationKey));
-  return row != rows.end() && row->second.version > this->configurationRowVersion;
+  return row != rows.end() &&
+         row->second.version > this->configurationRowVersion;
 }
 
 void Gateway::Impl::ApplyUpstreamRows(
--- a/src/node/internal/keyedservices.cpp
+++ b/src/node/internal/keyedservices.cpp
@@ -52,8 +52,10 @@
 
 } // namespace
 
-KeyedServices::KeyedServices(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
-           routing::Upstreams& aUpstreams, const Peers& aPeers, Hooks aHooks)
+KeyedServices::KeyedServices(state::HostRef aSelf,
+                             std::chrono::milliseconds aMostHold,
+                             routing::Upstreams& aUpstreams,
+                             const Peers& aPeers, Hooks aHooks)
   : self(std::move(aSelf))
   , maxLease(aMostHold)
   , upstreams(aUpstreams)
@@ -128,7 +130,7 @@
 }
 
 void KeyedServices::Read(const ServiceName& aService,
-                const ownership::Assigner::ReadDone& aDone)
+                         const ownership::Assigner::ReadDone& aDone)
 {
   this->hooks.read(kKeysTable, aService.value,
                    [aDone](Result<state::RowsRead> aRead) {
@@ -151,8 +153,8 @@
 }
 
 void KeyedServices::Write(const ServiceName& aService,
-                 const ownership::AssignmentWrite& aWrite,
-                 ownership::Assigner::WriteDone aDone)
+                          const ownership::AssignmentWrite& aWrite,
+                          ownership::Assigner::WriteDone aDone)
 {
   state::RowsWrite write;
   write.part = aService.value;
@@ -258,8 +260,8 @@
 {
   const TimePoint now = this->hooks.now();
   for (auto& [service, part] : this->parts) {
-    const bool isDue = now >= part.holdersDue &&
-                       (now >= part.othersTellUntil || this->hooks.followsStore());
+    const bool isDue = now >= part.holdersDue && (now >= part.othersTellUntil ||
+                                                  this->hooks.followsStore());
     if (part.map.CurrentVersion().assignmentVersion == 0 && isDue) {
       this->ReadHolders(service);
     }
@@ -349,7 +351,8 @@
   return marks;
 }
 
-std::vector<protocol::KeyUse> KeyedServices::TakeKeyUses(const state::HostId& aPeer)
+std::vector<protocol::KeyUse> KeyedServices::TakeKeyUses(
+  const state::HostId& aPeer)
 {
   std::vector<protocol::KeyUse> uses;
   for (auto& [service, part] : this->parts) {
@@ -365,7 +368,8 @@
   return uses;
 }
 
-bool KeyedServices::WasToldWhole(const Part& aPart, const KnownPeer& aPeer) const
+bool KeyedServices::WasToldWhole(const Part& aPart,
+                                 const KnownPeer& aPeer) const
 {
   const auto whole = aPart.wholeAt.find(aPeer.host.host);
   return whole != aPart.wholeAt.end() &&
@@ -373,7 +377,7 @@
 }
 
 bool KeyedServices::HasNoMap(const Part& aPart, const ServiceName& aService,
-                    const KnownPeer& aPeer) const
+                             const KnownPeer& aPeer) const
 {
   const ownership::MapVersion& mark = aPart.map.CurrentVersion();
   return mark.assignmentVersion > 0 && mark.assigner.host.value.empty() &&
@@ -382,7 +386,7 @@
 }
 
 bool KeyedServices::HasMissed(const Part& aPart, const ServiceName& aService,
-                     const KnownPeer& aPeer) const
+                              const KnownPeer& aPeer) const
 {
   const TimePoint now = this->hooks.now();
   if (aPart.history.empty() || aPart.map.CurrentVersion() != aPart.ownMark ||
@@ -397,7 +401,8 @@
   return now - toldAt > kMissedAfter && !goesByIt;
 }
 
-std::vector<protocol::KeyMapUpdate> KeyedServices::TakeFullMapsFor(const KnownPeer& aPeer)
+std::vector<protocol::KeyMapUpdate> KeyedServices::TakeFullMapsFor(
+  const KnownPeer& aPeer)
 {
   std::vector<protocol::KeyMapUpdate> updates;
   for (auto& [service, part] : this->parts) {
--- a/src/node/internal/keyedservices.h
+++ b/src/node/internal/keyedservices.h
@@ -48,7 +48,8 @@
   };
 
   KeyedServices(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
-       routing::Upstreams& aUpstreams, const Peers& aPeers, Hooks aHooks);
+                routing::Upstreams& aUpstreams, const Peers& aPeers,
+                Hooks aHooks);
 
   // The services that are keyed now; a service that is gone keeps its
   // assigner, as its upstreams still hold.
--- a/src/node/internal/listenerhelpers.h
+++ b/src/node/internal/listenerhelpers.h
@@ -20,7 +20,8 @@
   return aAddress.substr(0, aAddress.rfind(':'));
 }
 
-inline transport::HttpResponse MakePlainTextResponse(int aStatus, std::string aText)
+inline transport::HttpResponse MakePlainTextResponse(int aStatus,
+                                                     std::string aText)
 {
   transport::HttpResponse response;
   response.status = aStatus;
@@ -31,7 +32,7 @@
 
 // What a host says first on each connection to another.
 inline protocol::Hello MakeHello(const state::HostRef& aSelf,
-                               const state::DataCentre& aDataCentre)
+                                 const state::DataCentre& aDataCentre)
 {
   protocol::Hello hello;
   hello.sender.__set_host(aSelf.host.value);
@@ -43,7 +44,7 @@
 // Keeps what listens; else says why it cannot.
 template<typename Listener>
 std::error_code TakeListener(Result<std::unique_ptr<Listener>> aListening,
-                     std::unique_ptr<Listener>& aPlace)
+                             std::unique_ptr<Listener>& aPlace)
 {
   if (!aListening) {
     return aListening.error();
--- a/src/node/internal/nodehooks.cpp
+++ b/src/node/internal/nodehooks.cpp
@@ -122,8 +122,8 @@
                        state::TableHooks::WriteDone aDone) {
     auto done =
       std::make_shared<state::TableHooks::WriteDone>(std::move(aDone));
-    const bool handed =
-      this->TryRunOnPlatform([this, writes = std::move(aWrites), done]() mutable {
+    const bool handed = this->TryRunOnPlatform(
+      [this, writes = std::move(aWrites), done]() mutable {
         this->tableClient->Write(
           std::move(writes), [this, done](state::WriteOutcome aOutcome) {
             this->coordination.Hand([done, aOutcome] { (*done)(aOutcome); });
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -189,7 +189,7 @@
 }
 
 void Node::Impl::OnCallerRequest(HttpRequest&& aRequest,
-                          const transport::HttpServer::Respond& aRespond)
+                                 const transport::HttpServer::Respond& aRespond)
 {
   auto request = ToCallerRequest(std::move(aRequest), Now());
   if (!request) {
@@ -215,8 +215,8 @@
       });
   };
   if (!this->coordination.TryHand(task)) {
-    aRespond(
-      this->CountAnswer(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
+    aRespond(this->CountAnswer(ErrorKind::kRingFull,
+                               MakeErrorResponse(ErrorKind::kRingFull)));
   }
 }
 
@@ -232,7 +232,8 @@
 
 // Until the answer's head; only for services of the configuration, as callers
 // could otherwise grow the registry with names of their own.
-void Node::Impl::ObserveLatency(const state::ServiceName& aService, Duration aTook)
+void Node::Impl::ObserveLatency(const state::ServiceName& aService,
+                                Duration aTook)
 {
   if (this->router->Configuration().Find(aService) == nullptr) {
     return;
@@ -274,20 +275,21 @@
   this->retries.Add(aKind);
 }
 
-void Node::Impl::OnOperatorRequest(const HttpRequest& aRequest,
-                            const transport::HttpServer::Respond& aRespond)
+void Node::Impl::OnOperatorRequest(
+  const HttpRequest& aRequest, const transport::HttpServer::Respond& aRespond)
 {
   if (aRequest.target == "/ready") {
     const bool up = this->ready.load() && !this->stopping.load();
-    aRespond(MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
+    aRespond(
+      MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
     return;
   }
   Task task = [this, aRequest, aRespond] {
     this->operatorApi->Handle(aRequest, aRespond);
   };
   if (!this->coordination.TryHand(task)) {
-    aRespond(
-      this->CountAnswer(ErrorKind::kRingFull, MakeErrorResponse(ErrorKind::kRingFull)));
+    aRespond(this->CountAnswer(ErrorKind::kRingFull,
+                               MakeErrorResponse(ErrorKind::kRingFull)));
   }
 }
 
--- a/src/node/internal/nodeimpl.h
+++ b/src/node/internal/nodeimpl.h
@@ -57,21 +57,21 @@
 
   // Callers' thread.
   void OnCallerRequest(transport::HttpRequest&& aRequest,
-                const transport::HttpServer::Respond& aRespond);
+                       const transport::HttpServer::Respond& aRespond);
   void OnOperatorRequest(const transport::HttpRequest& aRequest,
-                  const transport::HttpServer::Respond& aRespond);
+                         const transport::HttpServer::Respond& aRespond);
   void OnFrame(const protocol::HostRef& aFrom, protocol::Frame aFrame);
   void RefuseFrame(const protocol::HostRef& aFrom,
                    const protocol::Frame& aFrame);
   transport::HttpResponse CountAnswer(protocol::ErrorKind aKind,
-                                transport::HttpResponse&& aResponse);
+                                      transport::HttpResponse&& aResponse);
 
   // Upstreams' thread.
   void SendUpstream(coordination::UpstreamCall&& aCall);
   void OnUpstreamAnswer(coordination::RequestId aId,
                         Result<transport::HttpResponse> aAnswer);
   transport::BodyReader ReadBodyOnUpstreams(coordination::RequestId aId,
-                                  transport::BodyReader aReader);
+                                            transport::BodyReader aReader);
   transport::BodyReader ReadBodyOnCoordination(transport::BodyReader aReader);
 
   // Coordination's thread.
--- a/src/node/internal/registration.cpp
+++ b/src/node/internal/registration.cpp
@@ -94,7 +94,8 @@
       this->Write();
       return;
     case Step::kLook:
-      if (this->isEntered && this->hasLooked && this->hooks.isTableFollowedByOthers()) {
+      if (this->isEntered && this->hasLooked &&
+          this->hooks.isTableFollowedByOthers()) {
         this->Next(Step::kLook, kLookAgain);
       } else {
         this->Look();
