--- a/src/node/tests/replicationsimulation.h
+++ b/src/node/tests/replicationsimulation.h
@@ -263,10 +263,10 @@
     Parts& parts = *this->hosts[aHost]->parts;
     std::vector<state::HostId> live = parts.peers.LiveCellMembers();
     live.push_back({ this->hosts[aHost]->name });
-    const bool isKnown = parts.registration.HasLooked() ||
+    const bool isKnown = parts.registration.HasReadTable() ||
                          parts.tables.Find(kHostTable).version > 0;
     parts.tables.SetHostListState(isKnown ? HostListState::kKnown
-                                  : parts.registration.HasFailed()
+                                  : parts.registration.HasLastReadFailed()
                                     ? HostListState::kUnavailable
                                     : HostListState::kUnknown);
     parts.tables.OnTimer(live);
@@ -402,7 +402,8 @@
   {
     Registration::Hooks hooks;
     hooks.now = this->WorldClock();
-    hooks.readFirst = [this, aHost](const state::RowStore::ReadDone& aDone) {
+    hooks.readFirstRows = [this,
+                           aHost](const state::RowStore::ReadDone& aDone) {
       this->Call(aHost, [this, aDone](bool aIsServed) {
         if (!aIsServed) {
           aDone(make_error_code(protocol::ErrorKind::kStoreUnavailable));
@@ -431,10 +432,10 @@
         aDone(state::WriteOutcome::kWritten, this->version);
       });
     };
-    hooks.othersTell = [this, aHost] {
+    hooks.isTableFollowedByOthers = [this, aHost] {
       return this->hosts[aHost]->parts->neighbours.Cells().IsDivided();
     };
-    hooks.found = [this, aHost](const state::RowsRead& aRead) {
+    hooks.firstRowsRead = [this, aHost](const state::RowsRead& aRead) {
       TableReplication& tables = this->hosts[aHost]->parts->tables;
       if (!aRead.isPartial) {
         tables.OnUpdate({ kHostTable, true, aRead.rows, aRead.version, {} });
