--- a/src/ownership/assigner.h
+++ b/src/ownership/assigner.h
@@ -1,25 +1,31 @@
-// Gives a service's keys to its upstreams. Every host has one of these a keyed
-// service; at most one of them at a time changes the assignment, and the store
-// decides which: each change is a conditional write on the row that names the
-// assigner. No I/O; time, store, orders and peers come in by hooks. One thread.
+// Assigns the key ranges of a keyed service to its upstreams. Every host runs
+// one Assigner for each keyed service. At most one of them at a time changes
+// the assignment, and the store decides which: each change is a conditional
+// write on the row that names the assigner. The class does no I/O: time, store,
+// lease commands and peers come in through hooks. It uses one thread.
 //
-// Why two upstreams never own a key together:
-// - A change is stored before any order of it is sent, and carries a fencing
-//   token above all that the keys had before.
-// - The new holder is granted keys only when each former one has confirmed
-//   their release, which carries the new token, so that a late order of the
-//   old one is refused there; or when its hold has surely run out.
-// - A hold surely has run out when its time, on a clock that may run slow, has
-//   passed since the last grant was sent, by this assigner or one before it.
+// An upstream may serve a key range only while it holds a lease on it. Two
+// upstreams never hold a lease on the same key, for these reasons:
+// - A change is stored before any lease command for it is sent. It carries a
+//   fencing token higher than all tokens that the keys had before.
+// - The new holder is granted a lease only after each previous holder has
+//   confirmed the release, or after its lease has certainly expired. The
+//   release carries the new token, so that the previous holder rejects an
+//   older grant that arrives late.
+// - A lease has certainly expired when its duration, on a clock that may run
+//   slow, has passed since the last grant was sent, by this assigner or by a
+//   predecessor.
 //
-// Store trouble: an assigner that cannot confirm its claim goes on renewing
-// holds as they are, while two thirds of the hosts say that they go by its map.
-// That is safe beside a successor that renews the same holds or has had them
-// released under a higher token. One that has to wait a hold out counts from
-// when the other has surely stopped: its last confirmation has run out, and
-// more than half of the hosts have gone by the successor's map for so long that
-// what they said before has run out too. Two thirds and a half meet even where
-// the two count a few hosts differently.
+// When the store is unavailable, an assigner cannot confirm its claim. It goes
+// on renewing the existing leases as long as two thirds of the hosts report
+// that they use its map. This is safe beside a successor that renews the same
+// leases, or that had them released under a higher token. A successor that has
+// to wait for a lease to expire counts from the time at which the predecessor
+// has certainly stopped renewing: the predecessor's last confirmation of its
+// claim is no longer valid, and more than half of the hosts have used the
+// successor's map for so long that their earlier reports are no longer valid
+// either. Two thirds and more than one half of the hosts overlap even if the
+// two assigners count a few hosts differently.
 
 #pragma once
 
@@ -43,12 +49,14 @@
 
 namespace kumquat::ownership {
 
+// What a lease command asks an upstream to do.
 enum class LeaseCommandKind
 {
   kGrant,
   kRelease,
 };
 
+// Grants a key range to an upstream or makes it release the range.
 struct LeaseCommand
 {
   LeaseCommandKind kind = LeaseCommandKind::kGrant;
@@ -57,108 +65,117 @@
   Key first = 0;
   Key last = 0;
   FencingToken fencingToken = 0;
-  // Of grants.
+  // Set for grants only: how long the lease lasts from its arrival.
   std::chrono::milliseconds leaseDuration{ 0 };
-  // What the former holder left for this one; may be empty.
+  // Set for grants only: data from the previous holder. May be empty.
   std::string handover;
 };
 
+// How a lease command ended.
 enum class LeaseCommandResult
 {
   kDone,
-  // A higher token was seen on one of the keys.
+  // The upstream has seen a higher fencing token for one of the keys.
   kFenced,
-  // Another upstream has the address: the one that was meant has ended.
+  // Another upstream uses this address now, so the intended one has ended.
   kOtherUpstream,
   kRejected,
-  // It may have been carried out, or may be later.
+  // There was no response. The upstream may have executed the command or may
+  // still execute it.
   kNoAnswer,
-  // It was never sent.
+  // The command was never sent.
   kUnreachable,
 };
 
+// The name of a result in log events, such as "other-upstream".
 std::string_view LeaseCommandResultName(LeaseCommandResult aResult);
 
 struct LeaseCommandReply
 {
   LeaseCommandResult result = LeaseCommandResult::kNoAnswer;
+  // Data that a release returned for the next holder. May be empty.
   std::string handover;
 };
 
-// The two rows of a service's keys.
+// The two rows that the store keeps for a keyed service: the claim, which names
+// the assigner, and the assignment.
 struct AssignmentRows
 {
-  // 0 where there is no such row.
+  // Versions are 0 if the row does not exist.
   state::Version claimVersion = 0;
   state::HostRef assigner;
   state::Version assignmentVersion = 0;
   std::string assignmentText;
 };
 
+// A conditional write of both rows. It succeeds only if the versions of the
+// stored rows are those of `expected`.
 struct AssignmentWrite
 {
   AssignmentRows expected;
-  // Where set, the writer becomes the assigner.
+  // If set, this host becomes the assigner.
   std::optional<state::HostRef> claim;
   std::string assignmentText;
 };
 
-// An upstream as the assigner needs it.
+// A known upstream to which keys may be assigned.
 struct OwnerCandidate
 {
   Holder holder;
   std::string address;
-  // It may own keys: not leaving, not in a data centre that is out.
+  // False if the upstream is leaving or its data centre is out of service.
   bool mayOwn = false;
+  // In slow start: keys are moved to it only if all candidates are cold.
   bool cold = false;
-  // Requests that it can run in a given time, against the others.
+  // Requests that it can run in a given time, relative to other candidates.
   double capacity = 1;
 };
 
-// What a host last heard of a peer.
+// What this host knows about a peer from its last digest.
 struct PeerStatus
 {
   state::HostRef host;
   TimePoint lastHeardAt;
   bool leaving = false;
-  // The map that it goes by.
+  // Version of the key map that the peer uses.
   MapVersion mapVersion;
-  // Where that is this host's own: a time at which it surely went by it, on
-  // this host's clock; see DigestTimes.
+  // Set if that map is this host's own: a time, on this host's clock, at which
+  // the peer certainly used it. See DigestSendTimes.
   TimePoint mapConfirmedAt;
 };
 
+// Claims a service's keys, assigns them to upstreams and renews the leases.
 class Assigner
 {
 public:
   using ReadDone = std::function<void(Result<AssignmentRows>)>;
-  // The version is that of the write, where it was written.
+  // The version is that of the write, if the outcome is kWritten.
   using WriteDone = std::function<void(state::WriteOutcome, state::Version)>;
   using CommandDone = std::function<void(LeaseCommandReply)>;
 
   struct Hooks
   {
-    // Must count the time that the host was suspended.
+    // Must include the time during which the host was suspended.
     Clock now;
     std::function<void(ReadDone)> read;
     std::function<void(AssignmentWrite, WriteDone)> write;
     std::function<void(const LeaseCommand&, CommandDone)> sendCommand;
     std::function<std::vector<OwnerCandidate>()> candidates;
-    // All other hosts that were ever heard.
+    // All other hosts from which a digest was ever received.
     std::function<std::vector<PeerStatus>()> peers;
-    // The host that should assign first, of any two: the higher one; empty
-    // where all are alike.
+    // The host with the higher value should claim first. May be empty if all
+    // hosts are equal.
     std::function<double(const state::HostId&)> preference;
-    // A host that was never heard as the assigner has claimed the keys. Where
-    // not every host hears every other, asks for a connection to it; may be
-    // empty.
+    // Called when a host has claimed the keys that has never announced itself
+    // as the assigner. Requests a connection to it, as not every host receives
+    // digests from every other. May be empty.
     std::function<void(const state::HostRef&)> requestConnection;
-    // How much longer than others this host waits before it claims; may be
-    // empty.
+    // How much longer than other hosts this host waits before it claims. May
+    // be empty.
     std::function<Duration()> claimDelay;
-    // The map has changed.
+    // Called when the map has changed.
     std::function<void()> publish;
-    // What happened, to which keys or upstream, with what figures.
+    // Logs event aWhat; aDetail gives the keys, the upstream and figures.
     std::function<void(std::string_view aWhat, std::string_view aDetail)> log;
   };
 
@@ -166,7 +183,7 @@
   {
     state::ServiceName service;
     state::HostRef self;
-    // The longest hold that upstreams take.
+    // The longest lease that upstreams accept.
     std::chrono::milliseconds maxLease{ 10'000 };
   };
 
@@ -174,20 +191,23 @@
   Assigner(const Assigner&) = delete;
   Assigner& operator=(const Assigner&) = delete;
 
-  // To be called a few times a second, and oftener by the one that holds.
+  // Must be called a few times a second, and more often if this host is the
+  // assigner.
   void OnTimer();
-  // Upstreams or peers have changed.
+  // Must be called when upstreams or peers have changed.
   void OnMembershipChange();
-  // Keys of requests, as hosts report them.
+  // Takes the keys of requests, as hosts report them, for the balance planner.
   void RecordRequests(const std::vector<Key>& aKeys);
-  // The store's answers are late or missing; renewals go on.
-  void SetStoreAvailable(bool aWell);
-  // A planned stop: changes nothing more, so that another may take over, and
-  // renews what is held until then.
+  // While the store is unavailable (its responses are late or missing), the
+  // assignment does not change, but leases are renewed.
+  void SetStoreAvailable(bool aIsAvailable);
+  // Begins a planned stop: changes the assignment no more, so that another host
+  // can take over, and renews the existing leases until then.
   void Leave();
 
   bool IsAssigner() const { return this->phase == Phase::kActive; }
   MapVersion CurrentMapVersion() const;
+  // Ranges without a valid lease have no upstream.
   std::vector<MapRange> CurrentMap() const;
 
   std::chrono::milliseconds LeaseDuration() const
@@ -199,97 +219,106 @@
   enum class Phase
   {
     kIdle,
-    // A read or a write that may make this host the assigner is under way.
+    // A read or write that may make this host the assigner is pending.
     kClaiming,
+    // This host is the assigner.
     kActive,
+    // A planned stop has begun, and this host is not the assigner.
     kStopped,
   };
 
-  // A former holder that may still hold.
+  // A previous holder whose lease may not have expired yet.
   struct PreviousHolder
   {
     Holder holder;
     TimePoint leaseExpiresAt;
-    // An assigner before this one may have renewed it too.
+    // A predecessor of this assigner may have renewed the lease as well.
     bool maybeRenewedByPredecessor = false;
     bool commandPending = false;
     TimePoint retryAt;
   };
 
+  // An assigned range with the state of its leases.
   struct RangeState
   {
     AssignedRange assigned;
-    // Still to be released or waited out; then the holder is granted.
+    // The range is granted once all of these have released it or their leases
+    // have expired.
     std::vector<PreviousHolder> previousHolders;
     bool granted = false;
     TimePoint grantedAt;
     std::string handover;
-    // The holder's own hold; at the epoch where none was given.
+    // Expiry of the holder's lease; the clock's epoch if none was granted.
     TimePoint leaseExpiresAt;
     bool maybeRenewedByPredecessor = false;
-    TimePoint lastAnswerAt;
+    TimePoint lastResponseAt;
     TimePoint nextGrantAt;
     bool commandPending = false;
     int consecutiveFailures = 0;
-    // Its holder is being replaced; no more renewals.
+    // The holder is being replaced and its lease must not be extended.
     bool renewalsStopped = false;
   };
 
   void ConsiderClaim();
-  bool IsAssignerHeard() const;
-  bool IsAssignerHeardWithin(Duration aSilence) const;
+  bool IsAssignerAlive() const;
+  bool HasAssignerDigestWithin(Duration aTime) const;
   int RankAmongHosts() const;
-  // How long this host lets others go before it claims.
+  // How long this host waits for other hosts to claim before it does.
   Duration ClaimDelay() const;
-  // Whether more upstreams may be about to show before any keys are dealt.
-  bool IsTooEarlyToAssign(const AssignmentRows& aStored);
-  // When this host deals keys for the first time, whatever it knows.
+  // Whether no keys were assigned yet and more upstreams may appear soon.
+  bool IsTooEarlyToAssign(const AssignmentRows& aRows);
+  // From this time on, this host makes the first assignment even if new
+  // upstreams still appear.
   TimePoint FirstAssignmentDeadline() const;
-  // Whether the claim's host may live and has just not been heard as the
-  // assigner yet. Said once of each.
+  // Whether the claimant may be running and has only not announced itself as
+  // the assigner to this host yet. Requests a connection to it; true only once
+  // for a claimant.
   bool ShouldWaitForClaimant(const state::HostRef& aClaimant);
-  void WriteClaim(const AssignmentRows& aStored);
-  void BecomeAssigner(const AssignmentRows& aStored);
+  void WriteClaim(const AssignmentRows& aRows);
+  void BecomeAssigner(const AssignmentRows& aRows);
   void StepDown(std::string_view aWhy);
   void CheckClaim();
   void CheckOtherAssigners();
   bool MayRenewLeases() const;
-  // Hosts that go by this one's map, itself included, and all that were heard
-  // within the last minute.
+  // First: hosts that use this assigner's map, including this host. Second: all
+  // hosts from which a digest was received within the last minute.
   std::pair<std::size_t, std::size_t> CountFollowers() const;
   void ReloadAssignment();
 
   void ApplyAssignment(const Assignment& aAssignment, state::Version aVersion);
-  RangeState MakeRangeState(const AssignedRange& aStored,
+  RangeState MakeRangeState(const AssignedRange& aAssigned,
                             const std::vector<RangeState>& aOld);
-  TimePoint LeaseExpiry(TimePoint aOwn, bool aForeign) const;
+  TimePoint LeaseExpiry(TimePoint aExpiresAt,
+                        bool aMaybeRenewedByPredecessor) const;
   TimePoint LeaseExpiryFromNow() const;
 
   void AdvanceRanges();
-  void ReleasePreviousHolders(std::size_t aIndex);
-  void SendRelease(std::size_t aIndex, std::size_t aFormer);
-  void SendGrant(std::size_t aIndex);
-  void OnGrantReply(Key aFirst, FencingToken aFence,
+  void ReleasePreviousHolders(std::size_t aRangeIndex);
+  void SendRelease(std::size_t aRangeIndex, std::size_t aHolderIndex);
+  void SendGrant(std::size_t aRangeIndex);
+  void OnGrantReply(Key aFirst, FencingToken aFencingToken,
                     const LeaseCommandReply& aReply);
-  RangeState* FindRange(Key aFirst, FencingToken aFence);
+  RangeState* FindRange(Key aFirst, FencingToken aFencingToken);
 
   void PlanChanges();
   bool PlanReplacements(Assignment& aNext,
-                        const std::vector<OwnerCandidate>& aOwners);
+                        const std::vector<OwnerCandidate>& aCandidates);
   bool PlanBalance(Assignment& aNext,
-                   const std::vector<OwnerCandidate>& aOwners);
+                   const std::vector<OwnerCandidate>& aCandidates);
   bool PlanMerges(Assignment& aNext);
   void ReassignRange(Assignment& aNext, const RangeState& aRange,
                      const std::vector<Key>& aRequests,
                      std::vector<std::pair<OwnerCandidate, double>>& aLoads);
+  // Null if the holder is unknown, may not own keys or is backed off.
   const OwnerCandidate* FindCandidate(
-    const std::vector<OwnerCandidate>& aOwners, const Holder& aHolder) const;
+    const std::vector<OwnerCandidate>& aCandidates,
+    const Holder& aHolder) const;
   bool IsBackedOff(const state::UpstreamId& aId) const;
   void StartBackoff(const state::UpstreamId& aId);
-  // It has been given keys and has not answered yet.
+  // Whether the holder is assigned a range that it has not been granted yet.
   bool HasUngrantedRange(const Holder& aHolder) const;
-  // Those of the last aWindow.
-  std::vector<Key> SortedRequests(Duration aWindow) const;
+  // Keys of the requests of the last aWindow.
+  std::vector<Key> SortedRequestKeys(Duration aWindow) const;
   void WriteAssignment(const Assignment& aNext);
   void PublishMap();
 
@@ -301,11 +330,12 @@
   bool leaving = false;
   TimePoint startedAt;
   TimePoint claimNotBefore;
-  // Upstreams that were known at the last look before any keys were dealt.
+  // Number of upstreams at the last check before the first assignment.
   std::size_t candidatesSeen = 0;
-  // The claimant that was asked for last; see Hooks::meet.
+  // The last claimant for which Hooks::requestConnection was called.
   state::HostRef lastConnectionRequest;
-  // Of this host's own tenure.
+  // The members from here on are valid while this host is the assigner. The
+  // rows are as this host last read or wrote them.
   AssignmentRows rows;
   Assignment assignment;
   std::vector<RangeState> ranges;
@@ -318,12 +348,13 @@
   TimePoint balanceDue;
   TimePoint mergeDue;
   TimePoint claimedAt;
-  // Assigners before this one may still renew.
+  // Whether predecessors may still renew leases.
   bool predecessorsMayRenew = false;
-  // What they renewed has lapsed by then.
+  // Leases that predecessors renewed have expired by then.
   TimePoint predecessorLeasesExpireAt;
-  // Upstreams that did not answer orders; until they answer one, each further
-  // failure doubles the time in which they get no keys.
+  // Upstreams that did not respond to lease commands. They receive no keys
+  // until the time given here. Each further failure doubles the duration, until
+  // the upstream responds to a command.
   struct Backoff
   {
     TimePoint until;
--- a/src/ownership/digestsendtimes.h
+++ b/src/ownership/digestsendtimes.h
@@ -1,8 +1,8 @@
-// When a host sent each of its last digests. A peer names the last one that it
-// had heard when it said whose map it goes by; what it said then counts from
-// the sending of that digest. Counted from when it arrived, an old word could
-// look fresh: a host that wakes up after standing still finds its connections
-// full of them.
+// Records when a host sent each of its last digests. A peer's digest names the
+// key map that it uses and the last digest that it had received from this host.
+// This report is dated back to the time at which that digest was sent. If it
+// were dated by its arrival, an old report could look recent: a host that
+// resumes after a pause finds its connections full of old digests.
 
 #pragma once
 
@@ -15,13 +15,15 @@
 
 namespace kumquat::ownership {
 
+// The send times of this host's last 300 digests.
 class DigestSendTimes
 {
 public:
-  // The number of the digest that is sent now; rises from 1.
+  // Records that a digest is sent now and returns its number. Numbers ascend
+  // from 1.
   std::int64_t RecordSend(TimePoint aNow)
   {
-    // Half a minute of digests; older ones count for nothing any more.
+    // Half a minute of digests. Reports that name older ones have expired.
     constexpr std::size_t kKept = 300;
     this->sent.push_back(aNow);
     ++this->last;
@@ -31,7 +33,7 @@
     return this->last;
   }
 
-  // The epoch where the digest is not known (any more).
+  // Returns the clock's epoch if the digest was never sent or is forgotten.
   TimePoint SentAt(std::int64_t aNumber) const
   {
     const std::int64_t first =
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -1,4 +1,5 @@
-// Who assigns: an assigner's claims, and how long it may go on.
+// Assigner: claiming the keys of a service, confirming the claim, and deciding
+// how long leases may be renewed.
 
 #include "ownership/assigner.h"
 
@@ -16,34 +17,41 @@
 
 namespace {
 
-// A hold that is not renewed ends after this time: the longest that the keys
-// of an upstream that crashed are nobody's. It must outlast the take-over from
-// an assigner that crashed, some 1.5 s.
-constexpr milliseconds kHold{ 3000 };
-// A read of the row that shows the claim counts for so long, from when it was
-// asked: a read each two seconds, one of which may fail.
-constexpr milliseconds kConfirmed{ 3500 };
-// What a host says of its map counts for so long, from the sending of the
-// digest that it answers. In cells an assigner's digests and their answers come
-// each 300 and 500 ms, busy hosts lag by some hundred, and links lose packets.
-constexpr milliseconds kSaid{ 2000 };
-// A host that was not heard for so long is no host any more.
-constexpr milliseconds kForgotten{ 60'000 };
-constexpr milliseconds kConfirmEvery{ 2000 };
-// An assigner that was not heard for so long is taken as gone. Digests come
-// five times a second and some are lost.
-constexpr milliseconds kSilence{ 1000 };
-// The second in rank waits so much longer than the first.
-constexpr milliseconds kRankStep{ 300 };
-// Hosts start within moments of each other and need one digest round to know
-// who else is there.
-constexpr milliseconds kStartPause{ 900 };
-constexpr milliseconds kClaimPause{ 700 };
-// Keys are dealt for the first time when no upstream has shown since the last
-// look, or when so much has passed since the start, and a step for each host
-// that goes before; traffic waits for longer.
-constexpr milliseconds kFirstDeal{ 3500 };
-constexpr std::size_t kMostRequests = 20'000;
+// A lease that is not renewed expires after this time. The keys of an upstream
+// that crashed have no owner for at most this long. It must be longer than the
+// take-over from an assigner that crashed, which takes some 1.5 s.
+constexpr milliseconds kLeaseDuration{ 3000 };
+// A read that shows this host's claim is valid for this time from when it was
+// requested. With a read every two seconds, one of them may fail.
+constexpr milliseconds kClaimValidity{ 3500 };
+// A host's report of the map that it uses is valid for this time, counted from
+// when the digest that it acknowledges was sent. In cells (groups of some ten
+// hosts that exchange full digests), an assigner's digests and the digests that
+// acknowledge them arrive every 300 and 500 ms, busy hosts lag by some hundred
+// milliseconds,
+// and links lose packets.
+constexpr milliseconds kMapReportValidity{ 2000 };
+// A host without a digest for this time is not counted as a host any more.
+constexpr milliseconds kHostExpiry{ 60'000 };
+// Time between two reads that confirm the claim.
+constexpr milliseconds kClaimCheckInterval{ 2000 };
+// An assigner without a digest for this time counts as unreachable. Digests
+// arrive five times a second, and some are lost.
+constexpr milliseconds kAssignerTimeout{ 1000 };
+// Each host waits this much longer to claim than the next higher in rank.
+constexpr milliseconds kRankDelay{ 300 };
+// Hosts start at nearly the same time and need one round of digests to learn
+// which other hosts are running.
+constexpr milliseconds kStartDelay{ 900 };
+// Pause before the next check whether to claim, after a claim that failed or
+// was put off.
+constexpr milliseconds kClaimRetryPause{ 700 };
+// The first assignment is made when no upstream has appeared since the last
+// check, or when this time has passed since the start, plus kRankDelay for each
+// host of higher rank. Requests wait for longer than that.
+constexpr milliseconds kFirstAssignmentTimeout{ 3500 };
+// Limit on the requests that are kept for the balance planner.
+constexpr std::size_t kMaxRecentRequests = 20'000;
 
 } // namespace
 
@@ -69,26 +77,27 @@
 Assigner::Assigner(Options aOptions, Hooks aHooks)
   : options(std::move(aOptions))
   , hooks(std::move(aHooks))
-  , leaseDuration(std::min(kHold, this->options.maxLease))
+  , leaseDuration(std::min(kLeaseDuration, this->options.maxLease))
   , startedAt(this->hooks.now())
 {
 }
 
-void Assigner::SetStoreAvailable(bool aWell)
+void Assigner::SetStoreAvailable(bool aIsAvailable)
 {
-  this->storeAvailable = aWell;
+  this->storeAvailable = aIsAvailable;
 }
 
-// Failure: the assigner's host is stopped by plan while the store is out.
-// Nobody can claim then, and when it gave no more orders all keys lapsed and
-// were refused for seconds. It goes on renewing until it ends or learns of a
-// successor, as one does that cannot confirm its claim; see the head of
+// Failure: the assigner's host had a planned stop while the store was
+// unavailable. No other host could claim then. As the assigner sent no more
+// lease commands, all leases expired and requests were refused for seconds.
+// Therefore it renews leases until its process ends or it learns of a
+// successor, like an assigner that cannot confirm its claim; see the head of
 // assigner.h.
 void Assigner::Leave()
 {
   this->leaving = true;
   if (this->phase == Phase::kActive) {
-    this->hooks.log("assigner-leaves", "planned stop");
+    this->hooks.log("assigner-leaves", "planned stop has begun");
   } else {
     this->phase = Phase::kStopped;
   }
@@ -103,9 +112,9 @@
 {
   std::vector<MapRange> map;
   for (const RangeState& range : this->ranges) {
-    const bool open = range.granted && range.previousHolders.empty();
+    const bool isServed = range.granted && range.previousHolders.empty();
     const state::UpstreamId owner =
-      open ? range.assigned.holder.upstream : state::UpstreamId{};
+      isServed ? range.assigned.holder.upstream : state::UpstreamId{};
     if (!map.empty() && map.back().upstream == owner) {
       map.back().last = range.assigned.last;
     } else {
@@ -162,75 +171,79 @@
   }
   while (!this->recentRequests.empty() &&
          (now - this->recentRequests.front().first > kRequestWindow ||
-          this->recentRequests.size() > kMostRequests)) {
+          this->recentRequests.size() > kMaxRecentRequests)) {
     this->recentRequests.pop_front();
   }
 }
 
-// --- who assigns
+// --- claims
 
-// An assigner is heard through its digests, whatever map they name; one that
-// says that it leaves is gone.
-bool Assigner::IsAssignerHeardWithin(Duration aSilence) const
+// A host announces itself as the assigner in its digests if it uses a map of
+// its own, whichever version that has. One that is leaving does not count.
+bool Assigner::HasAssignerDigestWithin(Duration aTime) const
 {
   const TimePoint now = this->hooks.now();
   return std::ranges::any_of(this->hooks.peers(), [&](const PeerStatus& aPeer) {
     return aPeer.mapVersion.assigner == aPeer.host && !aPeer.leaving &&
            aPeer.mapVersion.assignmentVersion > 0 &&
-           now - aPeer.lastHeardAt < aSilence;
+           now - aPeer.lastHeardAt < aTime;
   });
 }
 
-bool Assigner::IsAssignerHeard() const
+bool Assigner::IsAssignerAlive() const
 {
-  // The rank costs a look at all hosts, and mostly need not be known.
-  return this->IsAssignerHeardWithin(kSilence) ||
-         this->IsAssignerHeardWithin(kSilence + this->ClaimDelay());
+  // The rank is only computed if needed, as that takes a pass over all hosts.
+  return this->HasAssignerDigestWithin(kAssignerTimeout) ||
+         this->HasAssignerDigestWithin(kAssignerTimeout + this->ClaimDelay());
 }
 
 Duration Assigner::ClaimDelay() const
 {
   const Duration delay =
     this->hooks.claimDelay ? this->hooks.claimDelay() : Duration(0);
-  return kRankStep * this->RankAmongHosts() + delay;
+  return kRankDelay * this->RankAmongHosts() + delay;
 }
 
 int Assigner::RankAmongHosts() const
 {
   const TimePoint now = this->hooks.now();
-  const auto standing = [this](const state::HostId& aHost) {
+  const auto rankKey = [this](const state::HostId& aHost) {
     const double preference =
       this->hooks.preference ? this->hooks.preference(aHost) : 0;
     return std::make_pair(
       preference, RendezvousScore(aHost.value, this->options.service.value));
   };
-  const auto own = standing(this->options.self.host);
+  const auto ownKey = rankKey(this->options.self.host);
   return static_cast<int>(
     std::ranges::count_if(this->hooks.peers(), [&](const PeerStatus& aPeer) {
-      return !aPeer.leaving && now - aPeer.lastHeardAt < kSilence &&
-             standing(aPeer.host.host) > own;
+      return !aPeer.leaving && now - aPeer.lastHeardAt < kAssignerTimeout &&
+             rankKey(aPeer.host.host) > ownKey;
     }));
 }
 
-// Failure: hosts and upstreams start together, and the first claimant knew 31
-// of 137 upstreams, once one of 14. The others were filled by halves of what
-// those had, and the first seconds of traffic were spent on moves.
-bool Assigner::IsTooEarlyToAssign(const AssignmentRows& aStored)
+// Failure: hosts and upstreams started together, and the first claimant knew
+// only 31 of 137 upstreams, and in another case one of 14. The other upstreams
+// then received keys by halving the ranges of the first ones, and these moves
+// took the first seconds of traffic.
+bool Assigner::IsTooEarlyToAssign(const AssignmentRows& aRows)
 {
-  const std::size_t before =
+  const std::size_t previousCount =
     std::exchange(this->candidatesSeen, this->candidates.size());
-  return aStored.assignmentVersion == 0 && before != this->candidates.size() &&
+  return aRows.assignmentVersion == 0 &&
+         previousCount != this->candidates.size() &&
          this->hooks.now() < this->FirstAssignmentDeadline();
 }
 
 TimePoint Assigner::FirstAssignmentDeadline() const
 {
-  return this->startedAt + kFirstDeal + kRankStep * this->RankAmongHosts();
+  return this->startedAt + kFirstAssignmentTimeout +
+         kRankDelay * this->RankAmongHosts();
 }
 
-// Failure: a host has just claimed, and those that looked before its first
-// digest came claimed after it, four within 200 ms. One that was heard as the
-// assigner and is silent now, or that runs anew, need not be waited for.
+// Failure: a host had just claimed, and hosts that checked before its first
+// digest arrived claimed after it, four within 200 ms. There is no need to wait
+// for a claimant that had announced itself as the assigner and sends no digests
+// now, or that has restarted since its claim.
 bool Assigner::ShouldWaitForClaimant(const state::HostRef& aClaimant)
 {
   const bool isKnown =
@@ -254,9 +267,10 @@
 void Assigner::ConsiderClaim()
 {
   const TimePoint now = this->hooks.now();
-  if (now < this->claimNotBefore || this->IsAssignerHeardWithin(kSilence) ||
-      now - this->startedAt < kStartPause + this->ClaimDelay() ||
-      this->IsAssignerHeard()) {
+  if (now < this->claimNotBefore ||
+      this->HasAssignerDigestWithin(kAssignerTimeout) ||
+      now - this->startedAt < kStartDelay + this->ClaimDelay() ||
+      this->IsAssignerAlive()) {
     return;
   }
   this->candidates = this->hooks.candidates();
@@ -264,42 +278,43 @@
     return;
   }
   this->phase = Phase::kClaiming;
-  this->hooks.read([this](Result<AssignmentRows> aStored) {
+  this->hooks.read([this](Result<AssignmentRows> aRows) {
     if (this->phase != Phase::kClaiming) {
       return;
     }
-    if (!aStored || this->IsAssignerHeard()) {
+    if (!aRows || this->IsAssignerAlive()) {
       this->phase = Phase::kIdle;
-      this->claimNotBefore = this->hooks.now() + kClaimPause;
+      this->claimNotBefore = this->hooks.now() + kClaimRetryPause;
       return;
     }
-    if (this->IsTooEarlyToAssign(*aStored)) {
+    if (this->IsTooEarlyToAssign(*aRows)) {
       this->phase = Phase::kIdle;
-      // The last look is right at its time, or the rank would not tell.
-      this->claimNotBefore = std::min(this->hooks.now() + kClaimPause,
+      // The last check must come exactly at the deadline, which depends on the
+      // rank. Otherwise several hosts would claim at the same time.
+      this->claimNotBefore = std::min(this->hooks.now() + kClaimRetryPause,
                                       this->FirstAssignmentDeadline());
       return;
     }
-    if (this->ShouldWaitForClaimant(aStored->assigner)) {
+    if (this->ShouldWaitForClaimant(aRows->assigner)) {
       this->phase = Phase::kIdle;
-      this->claimNotBefore = this->hooks.now() + kSilence;
+      this->claimNotBefore = this->hooks.now() + kAssignerTimeout;
       return;
     }
-    this->WriteClaim(*aStored);
+    this->WriteClaim(*aRows);
   });
 }
 
-void Assigner::WriteClaim(const AssignmentRows& aStored)
+void Assigner::WriteClaim(const AssignmentRows& aRows)
 {
   AssignmentWrite write;
-  write.expected = aStored;
+  write.expected = aRows;
   write.claim = this->options.self;
-  write.assignmentText = aStored.assignmentText;
-  if (aStored.assignmentVersion == 0) {
+  write.assignmentText = aRows.assignmentText;
+  if (aRows.assignmentVersion == 0) {
     std::vector<Holder> holders;
-    for (const OwnerCandidate& owner : this->candidates) {
-      if (owner.mayOwn) {
-        holders.push_back(owner.holder);
+    for (const OwnerCandidate& candidate : this->candidates) {
+      if (candidate.mayOwn) {
+        holders.push_back(candidate.holder);
       }
     }
     if (holders.empty()) {
@@ -315,33 +330,33 @@
       }
       if (aOutcome != WriteOutcome::kWritten) {
         this->phase = Phase::kIdle;
-        this->claimNotBefore = this->hooks.now() + kClaimPause;
+        this->claimNotBefore = this->hooks.now() + kClaimRetryPause;
         return;
       }
-      AssignmentRows now = write.expected;
-      now.claimVersion = aVersion;
-      now.assignmentVersion = aVersion;
-      now.assignmentText = write.assignmentText;
-      this->BecomeAssigner(now);
+      AssignmentRows claimedRows = write.expected;
+      claimedRows.claimVersion = aVersion;
+      claimedRows.assignmentVersion = aVersion;
+      claimedRows.assignmentText = write.assignmentText;
+      this->BecomeAssigner(claimedRows);
     });
 }
 
-// aStored names the assigner before.
-void Assigner::BecomeAssigner(const AssignmentRows& aStored)
+// aRows names the previous assigner.
+void Assigner::BecomeAssigner(const AssignmentRows& aRows)
 {
   const TimePoint now = this->hooks.now();
-  const auto parsed = ParseAssignment(aStored.assignmentText);
+  const auto parsed = ParseAssignment(aRows.assignmentText);
   if (!parsed) {
-    this->hooks.log("assignment-unreadable", aStored.assignmentText);
+    this->hooks.log("assignment-unreadable", aRows.assignmentText);
     this->phase = Phase::kIdle;
-    this->claimNotBefore = now + kForgotten;
+    this->claimNotBefore = now + kHostExpiry;
     return;
   }
   this->phase = Phase::kActive;
-  this->rows = aStored;
+  this->rows = aRows;
   this->rows.assigner = this->options.self;
   this->claimConfirmedAt = now;
-  this->claimCheckDue = now + kConfirmEvery;
+  this->claimCheckDue = now + kClaimCheckInterval;
   this->planDue = now + kPlanInterval;
   this->ranges.clear();
   this->recentRequests.clear();
@@ -349,24 +364,27 @@
   this->writePending = false;
   this->claimCheckPending = false;
   this->revision = 0;
-  const bool isFirst = aStored.assigner.host.value.empty();
+  const bool isFirstAssigner = aRows.assigner.host.value.empty();
   this->claimedAt = now;
-  // Not only the last one: those before it may have stood still ever since.
-  this->predecessorsMayRenew = !isFirst;
-  this->predecessorLeasesExpireAt = isFirst ? TimePoint{} : TimePoint::max();
+  // Not only the last assigner counts: an earlier one may have been paused ever
+  // since and may resume.
+  this->predecessorsMayRenew = !isFirstAssigner;
+  this->predecessorLeasesExpireAt =
+    isFirstAssigner ? TimePoint{} : TimePoint::max();
   this->assignment = *parsed;
-  for (const AssignedRange& one : parsed->ranges) {
+  for (const AssignedRange& assigned : parsed->ranges) {
     RangeState range;
-    range.assigned = one;
-    range.granted = !isFirst && one.previousHolders.empty();
-    range.maybeRenewedByPredecessor = !isFirst;
-    range.lastAnswerAt = now;
-    for (const Holder& holder : one.previousHolders) {
+    range.assigned = assigned;
+    range.granted = !isFirstAssigner && assigned.previousHolders.empty();
+    range.maybeRenewedByPredecessor = !isFirstAssigner;
+    range.lastResponseAt = now;
+    for (const Holder& holder : assigned.previousHolders) {
       range.previousHolders.push_back({ holder, {}, true, false, {} });
     }
     this->ranges.push_back(std::move(range));
   }
-  this->hooks.log("assigner-won", "after " + aStored.assigner.host.value);
+  this->hooks.log("assigner-won",
+                  "previous assigner: " + aRows.assigner.host.value);
   this->PublishMap();
   this->AdvanceRanges();
 }
@@ -376,26 +394,26 @@
   this->hooks.log("assigner-lost", aWhy);
   this->phase = this->leaving ? Phase::kStopped : Phase::kIdle;
   this->ranges.clear();
-  this->claimNotBefore = this->hooks.now() + kClaimPause;
+  this->claimNotBefore = this->hooks.now() + kClaimRetryPause;
 }
 
 void Assigner::CheckClaim()
 {
   this->claimCheckPending = true;
-  const TimePoint asked = this->hooks.now();
-  this->claimCheckDue = asked + kConfirmEvery;
+  const TimePoint requestedAt = this->hooks.now();
+  this->claimCheckDue = requestedAt + kClaimCheckInterval;
   const state::Version claim = this->rows.claimVersion;
-  this->hooks.read([this, asked, claim](Result<AssignmentRows> aStored) {
+  this->hooks.read([this, requestedAt, claim](Result<AssignmentRows> aRows) {
     this->claimCheckPending = false;
     if (this->phase != Phase::kActive || claim != this->rows.claimVersion ||
-        !aStored) {
+        !aRows) {
       return;
     }
-    if (aStored->claimVersion != claim) {
-      this->StepDown("another host has claimed");
+    if (aRows->claimVersion != claim) {
+      this->StepDown("another host has claimed the keys");
       return;
     }
-    this->claimConfirmedAt = asked;
+    this->claimConfirmedAt = requestedAt;
   });
 }
 
@@ -405,45 +423,49 @@
   std::size_t followers = 1;
   std::size_t known = 1;
   for (const PeerStatus& peer : this->hooks.peers()) {
-    known += now - peer.lastHeardAt < kForgotten ? 1 : 0;
-    // Failure: a host that stood still finds old digests in its connections.
-    // Counted from their arrival they would let it renew holds that its
-    // successor has waited out; see DigestTimes.
-    const bool follows = peer.mapVersion.assigner == this->options.self;
-    followers += follows && now - peer.mapConfirmedAt < kSaid ? 1 : 0;
+    known += now - peer.lastHeardAt < kHostExpiry ? 1 : 0;
+    // Failure: a host that resumes after a pause finds old digests in its
+    // connections. If reports counted from their arrival, they would let it
+    // renew leases that its successor has already treated as expired. See
+    // DigestSendTimes.
+    const bool isFollower = peer.mapVersion.assigner == this->options.self;
+    followers +=
+      isFollower && now - peer.mapConfirmedAt < kMapReportValidity ? 1 : 0;
   }
   return { followers, known };
 }
 
 bool Assigner::MayRenewLeases() const
 {
-  if (this->hooks.now() - this->claimConfirmedAt <= kConfirmed) {
+  if (this->hooks.now() - this->claimConfirmedAt <= kClaimValidity) {
     return true;
   }
   const auto [followers, known] = this->CountFollowers();
   return followers * 3 >= known * 2;
 }
 
-// Assigners before this one have stopped where they can have neither a
-// confirmation nor enough hosts behind them; from then on only what they sent
-// before counts. A host never goes back to an older map, so what it said of one
-// was said before it took this one.
+// Predecessors have certainly stopped renewing once they can have neither a
+// valid confirmation of their claim nor enough hosts that use their map. From
+// then on only the grants that they sent earlier matter. A host never returns
+// to an older map, so it made any report of an older map before it took this
+// one.
 void Assigner::CheckOtherAssigners()
 {
   for (const PeerStatus& peer : this->hooks.peers()) {
-    // A map of a later version comes from an assigner that has claimed since.
+    // A map of a later version comes from a host that has claimed since.
     if (peer.mapVersion.assignmentVersion > this->rows.assignmentVersion &&
         peer.mapVersion.assigner != this->options.self && !this->writePending) {
-      this->StepDown("a peer knows a later map");
+      this->StepDown("a peer uses a map of a later version");
       return;
     }
   }
   const auto [followers, known] = this->CountFollowers();
   if (this->predecessorsMayRenew && followers * 2 > known) {
     const TimePoint now = this->hooks.now();
-    const TimePoint stops = std::max(this->claimedAt + kConfirmed, now + kSaid);
+    const TimePoint predecessorsStop =
+      std::max(this->claimedAt + kClaimValidity, now + kMapReportValidity);
     this->predecessorLeasesExpireAt =
-      this->LeaseExpiryFromNow() + (stops - now);
+      this->LeaseExpiryFromNow() + (predecessorsStop - now);
     this->predecessorsMayRenew = false;
   }
 }
--- /dev/null
+++ b/src/ownership/internal/assignercommands.cpp
@@ -0,0 +1,364 @@
+// Assigner: writing the assignment, and the lease commands that bring upstreams
+// in line with it.
+
+#include "ownership/assigner.h"
+
+#include "ownership/internal/assignertiming.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace kumquat::ownership {
+
+using state::WriteOutcome;
+using std::chrono::milliseconds;
+
+namespace {
+
+// Grants that are sent within the duration of one lease.
+constexpr int kRenewalsPerLease = 3;
+// An upstream's clock may run up to 2% slow.
+constexpr double kMaxClockSlowdown = 1.02;
+// Longest time that a grant takes to reach its upstream, including one
+// retransmission.
+constexpr milliseconds kMaxGrantDelay{ 300 };
+// Pause before a command that failed is sent again.
+constexpr milliseconds kCommandRetryPause{ 250 };
+// An upstream's keys are reassigned after this number of consecutive grants
+// that failed and this time since the last one that succeeded. If the upstream
+// is unreachable, the number alone is enough.
+constexpr int kFailuresBeforeReassign = 2;
+constexpr milliseconds kHolderTimeout{ 1300 };
+
+std::string Describe(const AssignedRange& aRange)
+{
+  return std::to_string(aRange.first) + "-" + std::to_string(aRange.last) +
+         " fence " + std::to_string(aRange.fencingToken) + " to " +
+         aRange.holder.upstream.value;
+}
+
+} // namespace
+
+// --- stored assignment
+
+void Assigner::WriteAssignment(const Assignment& aNext)
+{
+  this->writePending = true;
+  AssignmentWrite write;
+  write.expected = this->rows;
+  write.assignmentText = SerializeAssignment(aNext);
+  const TimePoint requestedAt = this->hooks.now();
+  this->hooks.write(write, [this, aNext, requestedAt](WriteOutcome aOutcome,
+                                                      state::Version aVersion) {
+    if (this->phase != Phase::kActive) {
+      return;
+    }
+    if (aOutcome != WriteOutcome::kWritten) {
+      this->ReloadAssignment();
+      return;
+    }
+    this->writePending = false;
+    this->claimConfirmedAt = std::max(this->claimConfirmedAt, requestedAt);
+    this->ApplyAssignment(aNext, aVersion);
+  });
+}
+
+// Called when a write failed or its outcome is unknown: what the store contains
+// now is in force.
+void Assigner::ReloadAssignment()
+{
+  const TimePoint requestedAt = this->hooks.now();
+  this->hooks.read([this, requestedAt](Result<AssignmentRows> aRows) {
+    this->writePending = false;
+    if (this->phase != Phase::kActive) {
+      return;
+    }
+    if (!aRows) {
+      // Leases are renewed again, and the next plan repeats the change.
+      this->planDue = this->hooks.now() + kPlanInterval;
+      std::ranges::for_each(this->ranges, [](RangeState& aRange) {
+        aRange.renewalsStopped = false;
+      });
+      return;
+    }
+    if (aRows->claimVersion != this->rows.claimVersion) {
+      this->StepDown("another host has claimed the keys");
+      return;
+    }
+    this->claimConfirmedAt = std::max(this->claimConfirmedAt, requestedAt);
+    const auto parsed = ParseAssignment(aRows->assignmentText);
+    if (parsed && aRows->assignmentVersion != this->rows.assignmentVersion) {
+      this->ApplyAssignment(*parsed, aRows->assignmentVersion);
+    } else {
+      std::ranges::for_each(this->ranges, [](RangeState& aRange) {
+        aRange.renewalsStopped = false;
+      });
+    }
+  });
+}
+
+TimePoint Assigner::LeaseExpiryFromNow() const
+{
+  const std::chrono::duration<double, std::milli> longest =
+    this->leaseDuration * kMaxClockSlowdown;
+  return this->hooks.now() + std::chrono::duration_cast<Duration>(longest) +
+         kMaxGrantDelay;
+}
+
+TimePoint Assigner::LeaseExpiry(TimePoint aExpiresAt,
+                                bool aMaybeRenewedByPredecessor) const
+{
+  return aMaybeRenewedByPredecessor
+           ? std::max(aExpiresAt, this->predecessorLeasesExpireAt)
+           : aExpiresAt;
+}
+
+void Assigner::ApplyAssignment(const Assignment& aAssignment,
+                               state::Version aVersion)
+{
+  std::vector<RangeState> old = std::move(this->ranges);
+  this->ranges.clear();
+  this->assignment = aAssignment;
+  this->rows.assignmentVersion = aVersion;
+  for (const AssignedRange& assigned : aAssignment.ranges) {
+    this->ranges.push_back(this->MakeRangeState(assigned, old));
+  }
+  this->revision = 0;
+  this->PublishMap();
+  this->AdvanceRanges();
+}
+
+Assigner::RangeState Assigner::MakeRangeState(
+  const AssignedRange& aAssigned, const std::vector<RangeState>& aOld)
+{
+  const TimePoint now = this->hooks.now();
+  RangeState range;
+  range.assigned = aAssigned;
+  range.lastResponseAt = now;
+  // A range that stays with its holder is served without interruption while it
+  // gets the higher token.
+  bool staysWithHolder = true;
+  for (const RangeState& old : aOld) {
+    if (old.assigned.last < aAssigned.first ||
+        old.assigned.first > aAssigned.last) {
+      continue;
+    }
+    if (old.assigned.fencingToken == aAssigned.fencingToken) {
+      RangeState kept = old;
+      kept.assigned = aAssigned;
+      // A pending command may have named other keys, and its reply is then
+      // ignored.
+      kept.commandPending = false;
+      kept.renewalsStopped = false;
+      return kept;
+    }
+    const bool isSameHolder = old.assigned.holder == aAssigned.holder;
+    staysWithHolder = staysWithHolder && isSameHolder && old.granted &&
+                      old.previousHolders.empty();
+    for (const PreviousHolder& previous : old.previousHolders) {
+      if (previous.holder != aAssigned.holder) {
+        range.previousHolders.push_back({ previous.holder,
+                                          previous.leaseExpiresAt,
+                                          previous.maybeRenewedByPredecessor,
+                                          false,
+                                          {} });
+      }
+    }
+    if (isSameHolder) {
+      range.leaseExpiresAt = std::max(range.leaseExpiresAt, old.leaseExpiresAt);
+      range.maybeRenewedByPredecessor =
+        range.maybeRenewedByPredecessor || old.maybeRenewedByPredecessor;
+    } else if (old.leaseExpiresAt != TimePoint{} ||
+               old.maybeRenewedByPredecessor) {
+      range.previousHolders.push_back({ old.assigned.holder,
+                                        old.leaseExpiresAt,
+                                        old.maybeRenewedByPredecessor,
+                                        false,
+                                        {} });
+    }
+  }
+  range.granted = staysWithHolder;
+  return range;
+}
+
+// --- lease commands
+
+void Assigner::AdvanceRanges()
+{
+  const TimePoint now = this->hooks.now();
+  for (std::size_t i = 0;
+       this->phase == Phase::kActive && i < this->ranges.size(); ++i) {
+    RangeState& range = this->ranges[i];
+    if (!range.previousHolders.empty()) {
+      this->ReleasePreviousHolders(i);
+    }
+    // A holder whose lease has expired refuses the keys from now on. The map
+    // without an owner lets hosts tell callers so at once, before the holder
+    // would refuse their requests.
+    if (range.granted &&
+        this->LeaseExpiry(range.leaseExpiresAt,
+                          range.maybeRenewedByPredecessor) <= now) {
+      range.granted = false;
+      this->hooks.log("keys-lapsed", Describe(range.assigned));
+      this->PublishMap();
+    }
+    if (range.previousHolders.empty() && !range.commandPending &&
+        !range.renewalsStopped && now >= range.nextGrantAt) {
+      this->SendGrant(i);
+    }
+  }
+}
+
+void Assigner::ReleasePreviousHolders(std::size_t aRangeIndex)
+{
+  const TimePoint now = this->hooks.now();
+  RangeState& range = this->ranges[aRangeIndex];
+  std::erase_if(range.previousHolders, [&](const PreviousHolder& aPrevious) {
+    const auto candidate = std::ranges::find_if(
+      this->candidates, [&aPrevious](const OwnerCandidate& aCandidate) {
+        return aCandidate.holder.upstream == aPrevious.holder.upstream;
+      });
+    // A new incarnation holds none of the leases of the one before.
+    const bool isRestarted =
+      candidate != this->candidates.end() &&
+      candidate->holder.startedMs > aPrevious.holder.startedMs;
+    return isRestarted ||
+           this->LeaseExpiry(aPrevious.leaseExpiresAt,
+                             aPrevious.maybeRenewedByPredecessor) <= now;
+  });
+  for (std::size_t i = 0; i < range.previousHolders.size(); ++i) {
+    if (!range.previousHolders[i].commandPending &&
+        range.previousHolders[i].retryAt <= now) {
+      this->SendRelease(aRangeIndex, i);
+    }
+  }
+}
+
+void Assigner::SendRelease(std::size_t aRangeIndex, std::size_t aHolderIndex)
+{
+  RangeState& range = this->ranges[aRangeIndex];
+  PreviousHolder& previous = range.previousHolders[aHolderIndex];
+  const auto candidate = std::ranges::find_if(
+    this->candidates, [&previous](const OwnerCandidate& aCandidate) {
+      return aCandidate.holder == previous.holder;
+    });
+  if (candidate == this->candidates.end()) {
+    return;
+  }
+  previous.commandPending = true;
+  LeaseCommand command;
+  command.kind = LeaseCommandKind::kRelease;
+  command.upstream = previous.holder.upstream;
+  command.address = candidate->address;
+  command.first = range.assigned.first;
+  command.last = range.assigned.last;
+  command.fencingToken = range.assigned.fencingToken;
+  this->hooks.sendCommand(
+    command, [this, first = range.assigned.first,
+              fencingToken = range.assigned.fencingToken,
+              holder = previous.holder](const LeaseCommandReply& aReply) {
+      RangeState* found = this->FindRange(first, fencingToken);
+      if (found == nullptr) {
+        return;
+      }
+      const auto pendingHolder = std::ranges::find(
+        found->previousHolders, holder, &PreviousHolder::holder);
+      if (pendingHolder == found->previousHolders.end()) {
+        return;
+      }
+      pendingHolder->commandPending = false;
+      pendingHolder->retryAt = this->hooks.now() + kCommandRetryPause;
+      if (aReply.result == LeaseCommandResult::kDone ||
+          aReply.result == LeaseCommandResult::kOtherUpstream) {
+        found->previousHolders.erase(pendingHolder);
+        found->handover = aReply.handover;
+        this->AdvanceRanges();
+      }
+    });
+}
+
+void Assigner::SendGrant(std::size_t aRangeIndex)
+{
+  RangeState& range = this->ranges[aRangeIndex];
+  const TimePoint now = this->hooks.now();
+  const auto candidate = std::ranges::find_if(
+    this->candidates, [&range](const OwnerCandidate& aCandidate) {
+      return aCandidate.holder == range.assigned.holder;
+    });
+  if (candidate == this->candidates.end() || !this->MayRenewLeases()) {
+    return;
+  }
+  range.commandPending = true;
+  range.leaseExpiresAt =
+    std::max(range.leaseExpiresAt, this->LeaseExpiryFromNow());
+  range.nextGrantAt = now + this->leaseDuration / kRenewalsPerLease;
+  LeaseCommand command;
+  command.upstream = range.assigned.holder.upstream;
+  command.address = candidate->address;
+  command.first = range.assigned.first;
+  command.last = range.assigned.last;
+  command.fencingToken = range.assigned.fencingToken;
+  command.leaseDuration = this->leaseDuration;
+  command.handover = range.handover;
+  this->hooks.sendCommand(command, [this, first = range.assigned.first,
+                                    fencingToken = range.assigned.fencingToken](
+                                     const LeaseCommandReply& aReply) {
+    this->OnGrantReply(first, fencingToken, aReply);
+  });
+}
+
+Assigner::RangeState* Assigner::FindRange(Key aFirst,
+                                          FencingToken aFencingToken)
+{
+  if (this->phase != Phase::kActive) {
+    return nullptr;
+  }
+  const auto found = std::ranges::find_if(
+    this->ranges, [aFirst, aFencingToken](const RangeState& aRange) {
+      return aRange.assigned.first == aFirst &&
+             aRange.assigned.fencingToken == aFencingToken;
+    });
+  return found == this->ranges.end() ? nullptr : &*found;
+}
+
+void Assigner::OnGrantReply(Key aFirst, FencingToken aFencingToken,
+                            const LeaseCommandReply& aReply)
+{
+  RangeState* range = this->FindRange(aFirst, aFencingToken);
+  if (range == nullptr) {
+    return;
+  }
+  const TimePoint now = this->hooks.now();
+  range->commandPending = false;
+  if (aReply.result == LeaseCommandResult::kDone) {
+    range->lastResponseAt = now;
+    range->consecutiveFailures = 0;
+    this->backoffs.erase(range->assigned.holder.upstream);
+    range->handover.clear();
+    if (!range->granted) {
+      range->granted = true;
+      range->grantedAt = now;
+      this->hooks.log("keys-granted", Describe(range->assigned));
+      this->PublishMap();
+    }
+    return;
+  }
+  ++range->consecutiveFailures;
+  range->nextGrantAt = now + kCommandRetryPause;
+  this->hooks.log("grant-failed",
+                  Describe(range->assigned) + ": " +
+                    std::string(LeaseCommandResultName(aReply.result)));
+  const bool isDefinite = aReply.result == LeaseCommandResult::kFenced ||
+                          aReply.result == LeaseCommandResult::kOtherUpstream;
+  const bool isUnresponsive =
+    range->consecutiveFailures >= kFailuresBeforeReassign &&
+    (now - range->lastResponseAt >= kHolderTimeout ||
+     aReply.result == LeaseCommandResult::kUnreachable);
+  if (isDefinite || isUnresponsive) {
+    this->StartBackoff(range->assigned.holder.upstream);
+    this->planDue = now;
+    this->PlanChanges();
+  }
+}
+
+} // namespace kumquat::ownership
--- a/src/ownership/internal/assignerplans.cpp
+++ b/src/ownership/internal/assignerplans.cpp
@@ -1,4 +1,4 @@
-// Which keys an assigner gives to whom next.
+// Assigner: planning which keys are reassigned to which upstream.
 
 #include "ownership/assigner.h"
 
@@ -14,24 +14,27 @@
 
 namespace {
 
-// Keys that have just moved stay for a while: what they did to the loads shows
-// only then, and each move keeps their callers waiting.
-constexpr milliseconds kRest{ 1200 };
-// Ranges that one holder has side by side are renewed one by one until they are
-// joined: a write and a grant, which many renewals pay for.
-constexpr milliseconds kJoinEvery{ 2000 };
-constexpr milliseconds kJoinRest{ 4000 };
-constexpr std::size_t kMostJoins = 30;
-constexpr milliseconds kTroubled{ 3000 };
-constexpr milliseconds kLongestTrouble{ 24'000 };
-// Of those the last ones are looked at first, for keys that turn hot at once:
-// in the whole window they take seconds to weigh. So few requests tell only an
-// upstream that gets many times its share.
-constexpr milliseconds kSuddenWindow{ 600 };
-constexpr double kSuddenOverload = 3.0;
-// Of fewer the window tells chance: a busy key of a small service was moved to
-// and fro, and its requests refused meanwhile went from 0.7 to 2.3 of 100.
-constexpr std::size_t kLeastSudden = 300;
+// Keys that have just moved are not moved again for this time: the effect on
+// the loads shows only then, and each move makes their callers wait.
+constexpr milliseconds kPauseAfterMove{ 1200 };
+// Adjacent ranges of one holder are renewed separately until they are merged.
+// A merge takes one write and one grant, and saves many renewals.
+constexpr milliseconds kMergeInterval{ 2000 };
+constexpr milliseconds kPauseBeforeMerge{ 4000 };
+constexpr std::size_t kMaxMerges = 30;
+// An upstream that fails receives no keys for the first of these times, which
+// doubles with each further failure up to the second.
+constexpr milliseconds kFirstBackoff{ 3000 };
+constexpr milliseconds kMaxBackoff{ 24'000 };
+// The last requests of kRequestWindow are balanced first, to find keys that
+// have suddenly become hot: in the whole window that takes seconds. So few
+// requests can only show an upstream that receives many times its share.
+constexpr milliseconds kHotKeyWindow{ 600 };
+constexpr double kHotKeyOverloadFactor = 3.0;
+// With fewer requests, the short window shows random variation: a busy key of a
+// small service was moved back and forth, and the requests that were refused
+// during the moves rose from 0.7 to 2.3 of 100.
+constexpr std::size_t kHotKeyMinRequests = 300;
 
 } // namespace
 
@@ -45,15 +48,15 @@
 void Assigner::StartBackoff(const state::UpstreamId& aId)
 {
   const TimePoint now = this->hooks.now();
-  Backoff& trouble = this->backoffs[aId];
-  // All its ranges fail together; that is one trouble.
-  if (trouble.until > now) {
+  Backoff& backoff = this->backoffs[aId];
+  // All ranges of an upstream fail together, which counts as one failure.
+  if (backoff.until > now) {
     return;
   }
-  trouble.duration = trouble.duration.count() == 0
-                       ? kTroubled
-                       : std::min(kLongestTrouble, trouble.duration * 2);
-  trouble.until = now + trouble.duration;
+  backoff.duration = backoff.duration.count() == 0
+                       ? kFirstBackoff
+                       : std::min(kMaxBackoff, backoff.duration * 2);
+  backoff.until = now + backoff.duration;
 }
 
 bool Assigner::HasUngrantedRange(const Holder& aHolder) const
@@ -65,28 +68,28 @@
 }
 
 const OwnerCandidate* Assigner::FindCandidate(
-  const std::vector<OwnerCandidate>& aOwners, const Holder& aHolder) const
+  const std::vector<OwnerCandidate>& aCandidates, const Holder& aHolder) const
 {
-  const auto found =
-    std::ranges::find_if(aOwners, [&aHolder](const OwnerCandidate& aOwner) {
-      return aOwner.holder == aHolder;
+  const auto found = std::ranges::find_if(
+    aCandidates, [&aHolder](const OwnerCandidate& aCandidate) {
+      return aCandidate.holder == aHolder;
     });
-  return found == aOwners.end() || !found->mayOwn ||
+  return found == aCandidates.end() || !found->mayOwn ||
              this->IsBackedOff(aHolder.upstream)
            ? nullptr
            : &*found;
 }
 
-std::vector<Key> Assigner::SortedRequests(Duration aWindow) const
+std::vector<Key> Assigner::SortedRequestKeys(Duration aWindow) const
 {
   const TimePoint from = this->hooks.now() - aWindow;
   const auto first =
-    std::ranges::find_if(this->recentRequests, [from](const auto& aOne) {
-      return aOne.first >= from;
+    std::ranges::find_if(this->recentRequests, [from](const auto& aEntry) {
+      return aEntry.first >= from;
     });
   std::vector<Key> keys;
   std::transform(first, this->recentRequests.end(), std::back_inserter(keys),
-                 [](const auto& aOne) { return aOne.second; });
+                 [](const auto& aEntry) { return aEntry.second; });
   std::ranges::sort(keys);
   return keys;
 }
@@ -100,7 +103,8 @@
   }
   this->planDue = now + kPlanInterval;
   Assignment next = this->assignment;
-  // What is over need not be waited for by a successor.
+  // Previous holders of a granted range have no lease any more, so a successor
+  // need not wait for them.
   for (std::size_t i = 0; i < this->ranges.size(); ++i) {
     if (this->ranges[i].granted) {
       next.ranges[i].previousHolders.clear();
@@ -112,16 +116,16 @@
   }
 }
 
-// Keys whose holder may not or does not serve them.
+// Reassigns the keys of holders that may not own keys or do not respond.
 bool Assigner::PlanReplacements(Assignment& aNext,
-                                const std::vector<OwnerCandidate>& aOwners)
+                                const std::vector<OwnerCandidate>& aCandidates)
 {
   std::vector<std::pair<OwnerCandidate, double>> loads;
   const auto collect = [&](bool aCold) {
-    for (const OwnerCandidate& owner : aOwners) {
-      if (owner.mayOwn && owner.cold == aCold &&
-          !this->IsBackedOff(owner.holder.upstream)) {
-        loads.emplace_back(owner, 0.0);
+    for (const OwnerCandidate& candidate : aCandidates) {
+      if (candidate.mayOwn && candidate.cold == aCold &&
+          !this->IsBackedOff(candidate.holder.upstream)) {
+        loads.emplace_back(candidate, 0.0);
       }
     }
   };
@@ -132,27 +136,29 @@
   if (loads.empty()) {
     return false;
   }
-  const std::vector<Key> keys = this->SortedRequests(kRequestWindow);
-  for (auto& [owner, load] : loads) {
+  const std::vector<Key> keys = this->SortedRequestKeys(kRequestWindow);
+  for (auto& [candidate, load] : loads) {
     for (const RangeState& range : this->ranges) {
-      if (range.assigned.holder == owner.holder) {
+      if (range.assigned.holder == candidate.holder) {
         const auto begin = std::ranges::lower_bound(keys, range.assigned.first);
         const auto end = std::ranges::upper_bound(keys, range.assigned.last);
-        // Keys count a little too, for services without requests yet.
+        // The number of keys counts a little as well, for services without
+        // requests yet.
         load +=
           static_cast<double>(end - begin) +
           static_cast<double>(range.assigned.last - range.assigned.first) /
             kLastKey;
       }
     }
-    load /= owner.capacity;
+    load /= candidate.capacity;
   }
   bool changed = false;
   for (RangeState& range : this->ranges) {
-    if (this->FindCandidate(aOwners, range.assigned.holder) == nullptr) {
+    if (this->FindCandidate(aCandidates, range.assigned.holder) == nullptr) {
       this->ReassignRange(aNext, range, keys, loads);
-      // No renewal may lengthen a hold that has to be waited out; one that can
-      // be released is renewed until the change is stored.
+      // If the new holder has to wait until this lease expires, no renewal may
+      // extend it. A lease that can be released is renewed until the change is
+      // stored.
       range.renewalsStopped = this->IsBackedOff(range.assigned.holder.upstream);
       changed = true;
     }
@@ -160,7 +166,8 @@
   return changed;
 }
 
-// In pieces, so that one lost upstream's requests do not drown another.
+// Splits a busy range into pieces, so that the requests of one lost upstream do
+// not overload another one.
 void Assigner::ReassignRange(
   Assignment& aNext, const RangeState& aRange,
   const std::vector<Key>& aRequests,
@@ -178,11 +185,11 @@
     const Key last = i == pieces
                        ? aRange.assigned.last
                        : std::max(first, *(begin + count * i / pieces));
-    auto least = std::ranges::min_element(
-      aLoads, {}, [](const auto& aOne) { return aOne.second; });
-    Reassign(aNext, first, last, least->first.holder);
-    least->second +=
-      (static_cast<double>(count) / pieces + 0.01) / least->first.capacity;
+    auto leastLoaded = std::ranges::min_element(
+      aLoads, {}, [](const auto& aEntry) { return aEntry.second; });
+    Reassign(aNext, first, last, leastLoaded->first.holder);
+    leastLoaded->second += (static_cast<double>(count) / pieces + 0.01) /
+                           leastLoaded->first.capacity;
     if (last == aRange.assigned.last) {
       return;
     }
@@ -190,71 +197,74 @@
   }
 }
 
-// The joined range gets a token above both, its holder goes on serving it.
+// A merged range gets a token higher than those of both parts, and its holder
+// serves it without interruption.
 bool Assigner::PlanMerges(Assignment& aNext)
 {
   const TimePoint now = this->hooks.now();
   if (now < this->mergeDue) {
     return false;
   }
-  this->mergeDue = now + kJoinEvery;
+  this->mergeDue = now + kMergeInterval;
   const auto isSettled = [now](const RangeState& aRange) {
     return aRange.granted && aRange.previousHolders.empty() &&
-           !aRange.renewalsStopped && now - aRange.grantedAt >= kJoinRest;
+           !aRange.renewalsStopped &&
+           now - aRange.grantedAt >= kPauseBeforeMerge;
   };
-  std::size_t joins = 0;
-  for (std::size_t i = 1; i < this->ranges.size() && joins < kMostJoins; ++i) {
+  std::size_t merges = 0;
+  for (std::size_t i = 1; i < this->ranges.size() && merges < kMaxMerges; ++i) {
     const RangeState& left = this->ranges[i - 1];
     const RangeState& right = this->ranges[i];
     if (left.assigned.holder == right.assigned.holder && isSettled(left) &&
         isSettled(right)) {
       Reassign(aNext, left.assigned.first, right.assigned.last,
                left.assigned.holder);
-      ++joins;
-      // It is another range now.
+      ++merges;
+      // The right range is part of the merged one and cannot be merged again.
       ++i;
     }
   }
-  return joins > 0;
+  return merges > 0;
 }
 
 bool Assigner::PlanBalance(Assignment& aNext,
-                           const std::vector<OwnerCandidate>& aOwners)
+                           const std::vector<OwnerCandidate>& aCandidates)
 {
   const TimePoint now = this->hooks.now();
   if (now < this->balanceDue) {
     return false;
   }
   this->balanceDue = now + kPlanInterval;
-  BalanceInput question;
+  BalanceInput input;
   for (const RangeState& range : this->ranges) {
-    // One change at a time for any key.
+    // A key may take part in only one change at a time.
     if (range.granted && range.previousHolders.empty() &&
-        !range.renewalsStopped && now - range.grantedAt >= kRest) {
-      question.ranges.push_back(range.assigned);
+        !range.renewalsStopped && now - range.grantedAt >= kPauseAfterMove) {
+      input.ranges.push_back(range.assigned);
     }
   }
-  for (const OwnerCandidate& owner : aOwners) {
-    if (owner.mayOwn && !this->IsBackedOff(owner.holder.upstream)) {
-      question.holders.push_back({ owner.holder, owner.capacity, !owner.cold });
+  for (const OwnerCandidate& candidate : aCandidates) {
+    if (candidate.mayOwn && !this->IsBackedOff(candidate.holder.upstream)) {
+      input.holders.push_back(
+        { candidate.holder, candidate.capacity, !candidate.cold });
     }
   }
-  question.requests = this->SortedRequests(kSuddenWindow);
-  question.overloadFactor = kSuddenOverload;
+  input.requests = this->SortedRequestKeys(kHotKeyWindow);
+  input.overloadFactor = kHotKeyOverloadFactor;
   std::vector<BalanceMove> moves;
-  if (question.requests.size() >= kLeastSudden) {
-    moves = PlanMoves(question);
+  if (input.requests.size() >= kHotKeyMinRequests) {
+    moves = PlanMoves(input);
   }
   if (moves.empty()) {
-    question.requests = this->SortedRequests(kRequestWindow);
-    question.overloadFactor = kDefaultOverloadFactor;
-    moves = PlanMoves(question);
+    input.requests = this->SortedRequestKeys(kRequestWindow);
+    input.overloadFactor = kDefaultOverloadFactor;
+    moves = PlanMoves(input);
   }
   for (const BalanceMove& move : moves) {
     this->hooks.log("keys-move", std::to_string(move.first) + "-" +
                                    std::to_string(move.last) + " to " +
-                                   move.to.upstream.value + " of " +
-                                   std::to_string(question.requests.size()) +
+                                   move.to.upstream.value + ", planned from " +
+                                   std::to_string(input.requests.size()) +
                                    " requests");
     Reassign(aNext, move.first, move.last, move.to);
   }
--- a/src/ownership/internal/assignertiming.h
+++ b/src/ownership/internal/assignertiming.h
@@ -1,4 +1,4 @@
-// Times that more than one part of the assigner goes by.
+// Intervals that several source files of the assigner use.
 
 #pragma once
 
@@ -6,8 +6,9 @@
 
 namespace kumquat::ownership {
 
+// Time between two plans of changes to the assignment.
 inline constexpr std::chrono::milliseconds kPlanInterval{ 400 };
-// Requests of so long are weighed; some 300 at 130 a second.
+// Requests of this last period are balanced: some 300 at 130 a second.
 inline constexpr std::chrono::milliseconds kRequestWindow{ 2500 };
 
 } // namespace kumquat::ownership
