--- a/src/ownership/assignment.h
+++ b/src/ownership/assignment.h
@@ -1,6 +1,6 @@
-// The stored assignment of a service's keys: who owns which range, by which
-// fencing token. What stands here was decided; what an upstream has been told
-// of it is the assigner's to know.
+// The stored assignment of a service's keys: which upstream owns which range
+// under which fencing token. It records decisions only. The assigner keeps
+// track of the leases that upstreams were granted accordingly.
 
 #pragma once
 
@@ -15,50 +15,58 @@
 
 namespace kumquat::ownership {
 
+// An upstream rejects a grant whose token is lower than one that it has seen
+// for any of the keys.
 using FencingToken = std::int64_t;
 
-// One life of an upstream: a new life holds nothing of what the one before had.
+// An incarnation of an upstream, which can hold leases. A new incarnation holds
+// none of the leases of the one before.
 struct Holder
 {
   state::UpstreamId upstream;
+  // The upstream's start in Unix ms, which tells its incarnations apart.
   std::int64_t startedMs = 0;
 
   bool IsEmpty() const { return this->upstream.value.empty(); }
   friend bool operator==(const Holder&, const Holder&) = default;
 };
 
+// A range of keys, both ends included, and its owner.
 struct AssignedRange
 {
   Key first = 0;
   Key last = 0;
   Holder holder;
-  // Above every fence that any of these keys had before.
+  // Higher than every token that any of these keys had before.
   FencingToken fencingToken = 0;
-  // Who had it before and may still hold it; empty once that is over.
+  // Previous holders whose lease may not have expired yet.
   std::vector<Holder> previousHolders;
 };
 
 struct Assignment
 {
-  // The next fence to be given out.
+  // The token of the next reassignment.
   FencingToken nextFencingToken = 1;
-  // By rising keys, without gaps or overlaps.
+  // In ascending order of keys, without gaps or overlaps.
   std::vector<AssignedRange> ranges;
 };
 
-// The row's value.
+// Returns the JSON text that the store keeps as the assignment row's value.
 std::string SerializeAssignment(const Assignment& aAssignment);
-// kMalformedRequest where the text is none of ours or leaves a key out.
+// Returns kMalformedRequest if the text was not made by SerializeAssignment or
+// does not cover all keys.
 Result<Assignment> ParseAssignment(std::string_view aText);
 
-// Gives [aFirst, aLast] to aHolder under a fresh fence, cutting what stands
-// there. All who may still hold the keys then stand as `previous`: the holder
-// until now, and those whom it was itself still waiting for.
+// Reassigns the keys from aFirst to aLast to aHolder under a new fencing token
+// and splits existing ranges at the ends. All who may still hold a lease on the
+// keys become previous holders: the holder until now, and the previous holders
+// that it was still waiting for.
 void Reassign(Assignment& aAssignment, Key aFirst, Key aLast,
               const Holder& aHolder);
 
-// The holders of a stored assignment, as a map to go by until an assigner is
-// heard: its mark is older than any that the assigner of that version gives.
+// A map of the holders of a stored assignment. A host uses it until it receives
+// an assigner's map. Its version is older than that of any map which the
+// assigner publishes for the same assignment.
 struct StoredMap
 {
   MapVersion version;
--- a/src/ownership/balance.h
+++ b/src/ownership/balance.h
@@ -1,11 +1,12 @@
-// Plans which keys change hands so that no upstream gets much more of the
-// requests than it can run.
+// Plans which keys move to another upstream, so that no upstream receives many
+// more requests than it can run.
 //
-// The load that this answers: a few keys that lie close together get a third
-// or more of a service's requests from one second to the next, several times
-// what one upstream runs. Even shares of the keys, or shares by hash, leave all
-// of them with one upstream. The plan cuts out of the busiest upstream's keys
-// the fewest that carry what it has too much, and gives them to the idlest.
+// The plan is made for this kind of load: within a second, a few adjacent keys
+// start to receive a third or more of a service's requests, several times what
+// one upstream can run. Assigning equal numbers of keys, or assigning keys by
+// hash, leaves all of that load with one upstream. The plan therefore takes the
+// fewest keys that carry the excess load of the busiest upstream and moves them
+// to the least loaded one.
 
 #pragma once
 
@@ -15,15 +16,17 @@
 
 namespace kumquat::ownership {
 
+// A holder among which the requests are balanced.
 struct BalanceHolder
 {
   Holder holder;
-  // Requests that it can run in a given time, against the others.
+  // Requests that it can run in a given time, relative to other holders.
   double capacity = 1;
-  // It may be given more keys now; false for a cold or an unsure one.
+  // False for a cold holder, which must not receive more keys now.
   bool mayReceiveKeys = true;
 };
 
+// Moves the keys from `first` to `last`, both included, to another holder.
 struct BalanceMove
 {
   Key first = 0;
@@ -31,25 +34,28 @@
   Holder to;
 };
 
-// An upstream is relieved where it gets more than this many times its share.
-// With some 20 requests an upstream, and what chance brings, that is 1.4 times
-// the share, at which services at half of their capacity begin to queue.
+// Keys move away from an upstream that receives more than this many times its
+// share of the requests. With some 20 requests for each upstream and the
+// allowance for random variation, the effective limit is 1.4 times the share.
+// At that load, services that run at half of their capacity begin to queue.
 inline constexpr double kDefaultOverloadFactor = 1.15;
 
+// What a plan is made from.
 struct BalanceInput
 {
-  // Only ranges that are settled and may be cut.
+  // Only ranges that may be split and moved now.
   std::vector<AssignedRange> ranges;
   std::vector<BalanceHolder> holders;
-  // Keys of the requests of the last while, sorted, each as often as it came.
+  // Keys of recent requests in ascending order, one entry for each request.
   std::vector<Key> requests;
+  // Times its share of requests above which a holder is overloaded.
   double overloadFactor = kDefaultOverloadFactor;
 };
 
-// At most a few moves; empty where none is worth its keys.
-std::vector<BalanceMove> PlanMoves(const BalanceInput& aQuestion);
+// Returns a limited number of moves. Returns none if no move is worthwhile.
+std::vector<BalanceMove> PlanMoves(const BalanceInput& aInput);
 
-// The first assignment: even shares.
+// Returns a first assignment, in which all holders get equal numbers of keys.
 Assignment AssignEvenly(const std::vector<Holder>& aHolders);
 
 } // namespace kumquat::ownership
--- a/src/ownership/internal/assignment.cpp
+++ b/src/ownership/internal/assignment.cpp
@@ -1,4 +1,4 @@
-// Text and cutting of assignments.
+// JSON text of assignments, and splitting and merging of their ranges.
 
 #include "ownership/assignment.h"
 
@@ -18,7 +18,7 @@
 
 using nlohmann::json;
 
-json HolderText(const Holder& aHolder)
+json HolderToJson(const Holder& aHolder)
 {
   return json::array({ aHolder.upstream.value, aHolder.startedMs });
 }
@@ -41,46 +41,48 @@
   return next == std::uint32_t{ kLastKey } + 1;
 }
 
-// Neighbours that one order can name together become one range.
-std::vector<AssignedRange> Joined(const std::vector<AssignedRange>& aRanges)
+// Merges adjacent ranges that one lease command can name together.
+std::vector<AssignedRange> MergeAdjacent(
+  const std::vector<AssignedRange>& aRanges)
 {
-  std::vector<AssignedRange> joined;
+  std::vector<AssignedRange> merged;
   for (const AssignedRange& range : aRanges) {
-    if (!joined.empty() && joined.back().holder == range.holder &&
-        joined.back().fencingToken == range.fencingToken &&
-        joined.back().previousHolders == range.previousHolders) {
-      joined.back().last = range.last;
+    if (!merged.empty() && merged.back().holder == range.holder &&
+        merged.back().fencingToken == range.fencingToken &&
+        merged.back().previousHolders == range.previousHolders) {
+      merged.back().last = range.last;
     } else {
-      joined.push_back(range);
+      merged.push_back(range);
     }
   }
-  return joined;
+  return merged;
 }
 
 } // namespace
 
-// The row takes 64 KB, and some hundred upstreams may have a thousand ranges: a
-// range is an array, begins where the one before ends, and names its holders by
-// their place in a list. That is some 20 bytes a range; with every name spelled
-// out it was 120, and the store refused the row at 500 ranges.
+// The store accepts rows of up to 64 KB, and some hundred upstreams may have a
+// thousand ranges. Therefore a range is a JSON array without field names: it
+// begins where the previous range ends, and it names its holders by their index
+// in a list. That takes some 20 bytes for a range. With all names written out a
+// range took 120 bytes, and the store rejected the row at 500 ranges.
 std::string SerializeAssignment(const Assignment& aAssignment)
 {
   json holders = json::array();
-  std::map<std::pair<state::UpstreamId, std::int64_t>, std::size_t> places;
-  const auto placeOf = [&](const Holder& aHolder) {
-    const auto [found, isNew] = places.try_emplace(
+  std::map<std::pair<state::UpstreamId, std::int64_t>, std::size_t> indexes;
+  const auto indexOf = [&](const Holder& aHolder) {
+    const auto [found, isNew] = indexes.try_emplace(
       { aHolder.upstream, aHolder.startedMs }, holders.size());
     if (isNew) {
-      holders.push_back(HolderText(aHolder));
+      holders.push_back(HolderToJson(aHolder));
     }
     return found->second;
   };
   json ranges = json::array();
   for (const AssignedRange& range : aAssignment.ranges) {
-    json one = { range.last, placeOf(range.holder), range.fencingToken };
-    std::ranges::transform(range.previousHolders, std::back_inserter(one),
-                           placeOf);
-    ranges.push_back(std::move(one));
+    json entry = { range.last, indexOf(range.holder), range.fencingToken };
+    std::ranges::transform(range.previousHolders, std::back_inserter(entry),
+                           indexOf);
+    ranges.push_back(std::move(entry));
   }
   return json{
     { "nextFence", aAssignment.nextFencingToken },
@@ -104,17 +106,18 @@
     std::ranges::transform(text.at("holders"), std::back_inserter(holders),
                            ParseHolder);
     std::uint32_t first = 0;
-    for (const json& one : text.at("ranges")) {
-      constexpr std::size_t kHolder = 1;
-      constexpr std::size_t kFence = 2;
-      constexpr std::size_t kPrevious = 3;
+    for (const json& entry : text.at("ranges")) {
+      constexpr std::size_t kHolderIndex = 1;
+      constexpr std::size_t kFencingTokenIndex = 2;
+      constexpr std::size_t kPreviousIndex = 3;
       AssignedRange range;
       range.first = static_cast<Key>(first);
-      range.last = one.at(0).get<Key>();
-      range.holder = holders.at(one.at(kHolder).get<std::size_t>());
-      range.fencingToken = one.at(kFence).get<FencingToken>();
-      for (std::size_t i = kPrevious; i < one.size(); ++i) {
-        range.previousHolders.push_back(holders.at(one[i].get<std::size_t>()));
+      range.last = entry.at(0).get<Key>();
+      range.holder = holders.at(entry.at(kHolderIndex).get<std::size_t>());
+      range.fencingToken = entry.at(kFencingTokenIndex).get<FencingToken>();
+      for (std::size_t i = kPreviousIndex; i < entry.size(); ++i) {
+        range.previousHolders.push_back(
+          holders.at(entry[i].get<std::size_t>()));
       }
       first = std::uint32_t{ range.last } + 1;
       assignment.ranges.push_back(std::move(range));
@@ -133,43 +136,43 @@
 void Reassign(Assignment& aAssignment, Key aFirst, Key aLast,
               const Holder& aHolder)
 {
-  std::vector<AssignedRange> result;
-  const FencingToken fence = aAssignment.nextFencingToken++;
+  std::vector<AssignedRange> ranges;
+  const FencingToken fencingToken = aAssignment.nextFencingToken++;
   for (const AssignedRange& range : aAssignment.ranges) {
     if (range.last < aFirst || range.first > aLast) {
-      result.push_back(range);
+      ranges.push_back(range);
       continue;
     }
     if (range.first < aFirst) {
       AssignedRange before = range;
       before.last = static_cast<Key>(aFirst - 1);
-      result.push_back(before);
+      ranges.push_back(before);
     }
-    AssignedRange given = range;
-    given.first = std::max(range.first, aFirst);
-    given.last = std::min(range.last, aLast);
+    AssignedRange reassigned = range;
+    reassigned.first = std::max(range.first, aFirst);
+    reassigned.last = std::min(range.last, aLast);
     if (!range.holder.IsEmpty()) {
-      given.previousHolders.push_back(range.holder);
+      reassigned.previousHolders.push_back(range.holder);
     }
-    given.holder = aHolder;
-    given.fencingToken = fence;
-    std::erase(given.previousHolders, aHolder);
-    result.push_back(given);
+    reassigned.holder = aHolder;
+    reassigned.fencingToken = fencingToken;
+    std::erase(reassigned.previousHolders, aHolder);
+    ranges.push_back(reassigned);
     if (range.last > aLast) {
       AssignedRange after = range;
       after.first = static_cast<Key>(aLast + 1);
-      result.push_back(after);
+      ranges.push_back(after);
     }
   }
-  aAssignment.ranges = Joined(result);
+  aAssignment.ranges = MergeAdjacent(ranges);
 }
 
 StoredMap MapFromAssignment(const Assignment& aAssignment,
                             state::Version aVersion)
 {
-  constexpr std::int64_t kBeforeAnyStep = -1;
+  constexpr std::int64_t kBeforeAnyRevision = -1;
   StoredMap map;
-  map.version = { aVersion, kBeforeAnyStep, {} };
+  map.version = { aVersion, kBeforeAnyRevision, {} };
   std::ranges::transform(
     aAssignment.ranges, std::back_inserter(map.ranges),
     [](const AssignedRange& aRange) {
--- a/src/ownership/internal/balance.cpp
+++ b/src/ownership/internal/balance.cpp
@@ -1,4 +1,4 @@
-// Choice of the keys that move.
+// Chooses the keys that move to another upstream.
 
 #include "ownership/balance.h"
 
@@ -14,31 +14,39 @@
 
 namespace {
 
-// Beyond BalanceQuestion::overload, a standard deviation of what chance alone
-// brings.
+// A holder is overloaded only if its requests exceed the limit by
+// BalanceInput::overloadFactor by another standard deviation of random
+// variation.
 constexpr double kChanceDeviations = 1.0;
-// Moves in one plan, and of how many holders one more may be relieved or filled
-// by it. Each costs a hand-over of about a request's time. A third of the
-// requests of 137 upstreams, on two hundred keys side by side, has to go from
-// two upstreams to some fifty; four a plan took the whole time that it lasted.
-constexpr std::size_t kMostMoves = 4;
+// A plan has up to kBaseMaxMoves moves, or one for every kHoldersPerMove
+// holders if that is more. Each move costs a hand-over, which takes about as
+// long as a request. If a third of the requests of 137 upstreams is for 200
+// adjacent keys, these have to move from two upstreams to some fifty. With four
+// moves in a plan, this took as long as the hot keys lasted.
+constexpr std::size_t kBaseMaxMoves = 4;
 constexpr std::size_t kHoldersPerMove = 4;
-// A key that alone is too much for any goes on to another only where that one
-// is faster by this much: capacities are learnt from answers and differ by a
-// fifth from one second to the next.
-constexpr double kWorthMoving = 0.8;
-// One without any keys gets this part of its share to start with.
-constexpr double kFirstShare = 0.6;
+// Keys move only if the receiver would then have less than this part of the
+// giver's load before the move. Otherwise a single key that is too much for any
+// upstream would move on and on: capacities are estimated from responses and
+// vary by a fifth from one second to the next.
+constexpr double kWorthwhileLoadRatio = 0.8;
+// A holder without any keys first receives this part of its share of requests.
+constexpr double kNewHolderShare = 0.6;
 
-struct Load
+// The requests that a holder receives under the plan so far.
+struct HolderLoad
 {
   const BalanceHolder* holder = nullptr;
   double requests = 0;
   std::size_t keys = 0;
 
-  double Relative() const { return this->requests / this->holder->capacity; }
+  double RequestsPerCapacity() const
+  {
+    return this->requests / this->holder->capacity;
+  }
 };
 
+// The requests of aRequests, which is sorted, for keys from aFirst to aLast.
 std::span<const Key> RequestsIn(const std::vector<Key>& aRequests, Key aFirst,
                                 Key aLast)
 {
@@ -47,7 +55,8 @@
   return { begin, end };
 }
 
-struct Cut
+// Adjacent keys of one range, both ends included, and their requests.
+struct KeyRun
 {
   Key first = 0;
   Key last = 0;
@@ -56,22 +65,24 @@
   int Width() const { return this->last - this->first; }
 };
 
-// The narrowest run of keys of a range that got aWanted requests or more.
-std::optional<Cut> NarrowestCut(const AssignedRange& aRange,
-                                std::span<const Key> aRequests,
-                                std::size_t aWanted)
+// Returns the narrowest run of keys in aRange that received at least aWanted
+// requests. aRequests are the requests in that range.
+std::optional<KeyRun> FindNarrowestRun(const AssignedRange& aRange,
+                                       std::span<const Key> aRequests,
+                                       std::size_t aWanted)
 {
-  std::optional<Cut> best;
+  std::optional<KeyRun> best;
   for (std::size_t i = 0; i + aWanted <= aRequests.size(); ++i) {
     const Key first = aRequests[i];
     const Key last = aRequests[i + aWanted - 1];
     if (!best || last - first < best->Width()) {
-      best = Cut{ first, last, 0 };
+      best = KeyRun{ first, last, 0 };
     }
   }
   if (best) {
-    // What lies between two runs of requests goes with the run, as far as the
-    // range's own end, or the rest would be a sliver.
+    // If the run begins with the first requested key of the range, or ends with
+    // the last one, it extends to that end of the range. Otherwise a narrow
+    // range without requests would remain.
     if (best->first == aRequests.front()) {
       best->first = aRange.first;
     }
@@ -86,19 +97,20 @@
   return best;
 }
 
+// Makes the moves of one plan, one after the other.
 class Planner
 {
 public:
-  explicit Planner(const BalanceInput& aQuestion)
-    : question(aQuestion)
-    , ranges(aQuestion.ranges)
+  explicit Planner(const BalanceInput& aInput)
+    : input(aInput)
+    , ranges(aInput.ranges)
   {
-    for (const BalanceHolder& holder : aQuestion.holders) {
+    for (const BalanceHolder& holder : aInput.holders) {
       this->loads.push_back({ &holder, 0, 0 });
       this->capacity += holder.capacity;
     }
     for (const AssignedRange& range : this->ranges) {
-      if (Load* load = this->LoadOf(range.holder)) {
+      if (HolderLoad* load = this->LoadOf(range.holder)) {
         load->requests += static_cast<double>(this->CountIn(range));
         ++load->keys;
       }
@@ -107,9 +119,9 @@
 
   std::vector<BalanceMove> Plan()
   {
-    const std::size_t most =
-      std::max(kMostMoves, this->loads.size() / kHoldersPerMove);
-    while (this->moves.size() < most && this->Step()) {
+    const std::size_t maxMoves =
+      std::max(kBaseMaxMoves, this->loads.size() / kHoldersPerMove);
+    while (this->moves.size() < maxMoves && this->AddMove()) {
     }
     return std::move(this->moves);
   }
@@ -117,83 +129,87 @@
 private:
   std::size_t CountIn(const AssignedRange& aRange) const
   {
-    return RequestsIn(this->question.requests, aRange.first, aRange.last)
-      .size();
+    return RequestsIn(this->input.requests, aRange.first, aRange.last).size();
   }
 
-  Load* LoadOf(const Holder& aHolder)
+  HolderLoad* LoadOf(const Holder& aHolder)
   {
     const auto found =
-      std::ranges::find_if(this->loads, [&aHolder](const Load& aLoad) {
+      std::ranges::find_if(this->loads, [&aHolder](const HolderLoad& aLoad) {
         return aLoad.holder->holder == aHolder;
       });
     return found == this->loads.end() ? nullptr : &*found;
   }
 
-  double ShareOf(const Load& aLoad) const
+  // The requests that fit the holder's part of the total capacity.
+  double ShareOf(const HolderLoad& aLoad) const
   {
     const double all = std::accumulate(
       this->loads.begin(), this->loads.end(), 0.0,
-      [](double aSum, const Load& aOne) { return aSum + aOne.requests; });
+      [](double aSum, const HolderLoad& aOne) { return aSum + aOne.requests; });
     return all * aLoad.holder->capacity / this->capacity;
   }
 
-  bool IsOverloaded(const Load& aLoad) const
+  bool IsOverloaded(const HolderLoad& aLoad) const
   {
     const double share = this->ShareOf(aLoad);
-    return aLoad.requests > this->question.overloadFactor * share +
+    return aLoad.requests > this->input.overloadFactor * share +
                               kChanceDeviations * std::sqrt(share + 1);
   }
 
-  bool Step()
+  // Adds one move to the plan. Returns false if there is no worthwhile one.
+  bool AddMove()
   {
     if (this->loads.size() < 2) {
       return false;
     }
-    std::vector<Load*> busiest;
+    std::vector<HolderLoad*> busiest;
     std::ranges::transform(this->loads, std::back_inserter(busiest),
-                           [](Load& aLoad) { return &aLoad; });
-    std::ranges::sort(busiest, std::greater{}, &Load::Relative);
-    const auto newcomer =
-      std::ranges::find_if(this->loads, [](const Load& aLoad) {
+                           [](HolderLoad& aLoad) { return &aLoad; });
+    std::ranges::sort(busiest, std::greater{},
+                      &HolderLoad::RequestsPerCapacity);
+    const auto newHolder =
+      std::ranges::find_if(this->loads, [](const HolderLoad& aLoad) {
         return aLoad.keys == 0 && aLoad.holder->mayReceiveKeys;
       });
-    if (newcomer != this->loads.end()) {
-      return this->Settle(*newcomer, *busiest.front());
+    if (newHolder != this->loads.end()) {
+      return this->AssignToNewHolder(*newHolder, *busiest.front());
     }
-    const auto idlest =
-      std::ranges::find_if(busiest.rbegin(), busiest.rend(), [](Load* aLoad) {
-        return aLoad->holder->mayReceiveKeys;
-      });
-    if (idlest == busiest.rend()) {
+    const auto leastLoaded = std::ranges::find_if(
+      busiest.rbegin(), busiest.rend(),
+      [](HolderLoad* aLoad) { return aLoad->holder->mayReceiveKeys; });
+    if (leastLoaded == busiest.rend()) {
       return false;
     }
-    // The busiest may have nothing more to give: its requests are for one key.
-    return std::ranges::any_of(busiest, [&](Load* aLoad) {
-      return aLoad != *idlest && this->IsOverloaded(*aLoad) &&
-             this->Relieve(*aLoad, **idlest);
+    // The busiest holder may have nothing to move, as its requests are for one
+    // key. Then the next busiest one is tried.
+    return std::ranges::any_of(busiest, [&](HolderLoad* aLoad) {
+      return aLoad != *leastLoaded && this->IsOverloaded(*aLoad) &&
+             this->MoveExcess(*aLoad, **leastLoaded);
     });
   }
 
-  bool Relieve(Load& aBusy, Load& aIdle)
+  bool MoveExcess(HolderLoad& aBusy, HolderLoad& aIdle)
   {
-    const double over = aBusy.requests - this->ShareOf(aBusy);
-    const double room = this->ShareOf(aIdle) - aIdle.requests;
-    return this->Move(aBusy, aIdle, std::min(over, room));
+    const double excess = aBusy.requests - this->ShareOf(aBusy);
+    const double spare = this->ShareOf(aIdle) - aIdle.requests;
+    return this->MoveRequests(aBusy, aIdle, std::min(excess, spare));
   }
 
-  // A newcomer gets keys even where nobody is overloaded, or it would idle.
-  bool Settle(Load& aNewcomer, Load& aBusiest)
+  // Moves keys to a holder without any, even if no holder is overloaded, as it
+  // would otherwise stay idle.
+  bool AssignToNewHolder(HolderLoad& aNewHolder, HolderLoad& aBusiest)
   {
     if (aBusiest.requests < 2) {
-      return this->HalveWidest(aNewcomer);
+      return this->SplitWidestRange(aNewHolder);
     }
-    const double wanted =
-      std::min(kFirstShare * this->ShareOf(aNewcomer), aBusiest.requests / 2);
-    return this->Move(aBusiest, aNewcomer, wanted);
+    const double wanted = std::min(kNewHolderShare * this->ShareOf(aNewHolder),
+                                   aBusiest.requests / 2);
+    return this->MoveRequests(aBusiest, aNewHolder, wanted);
   }
 
-  bool HalveWidest(Load& aNewcomer)
+  // Moves the upper half of the widest range to the new holder.
+  bool SplitWidestRange(HolderLoad& aNewHolder)
   {
     const auto widest = std::ranges::max_element(
       this->ranges, {},
@@ -201,28 +217,32 @@
     if (widest == this->ranges.end() || widest->last == widest->first) {
       return false;
     }
-    const Cut half{ static_cast<Key>(widest->first +
-                                     (widest->last - widest->first) / 2 + 1),
-                    widest->last, 0 };
-    this->Apply(half, aNewcomer);
+    const KeyRun upperHalf{
+      static_cast<Key>(widest->first + (widest->last - widest->first) / 2 + 1),
+      widest->last, 0
+    };
+    this->ApplyMove(upperHalf, aNewHolder);
     return true;
   }
 
-  // Whether the receiver would be clearly better off with so many requests more
-  // than the giver is now. One key can carry more than was wanted.
-  static bool MayTake(const Load& aFrom, const Load& aTo, std::size_t aRequests)
+  // Whether the receiver, with aRequests more, would have clearly less load
+  // than the giver has now. One key can carry more requests than were to be
+  // moved.
+  static bool IsWorthMoving(const HolderLoad& aFrom, const HolderLoad& aTo,
+                            std::size_t aRequests)
   {
     return (aTo.requests + static_cast<double>(aRequests)) /
              aTo.holder->capacity <
-           kWorthMoving * aFrom.Relative();
+           kWorthwhileLoadRatio * aFrom.RequestsPerCapacity();
   }
 
-  // The parts of a range between keys that alone are too much to move. Where
-  // one key gets more than any upstream can run, the others leave it alone with
-  // its owner, or they would be refused with it.
-  std::vector<AssignedRange> WithoutHeavyKeys(const AssignedRange& aRange,
-                                              const Load& aFrom,
-                                              const Load& aTo) const
+  // Returns the parts of a range between keys that have too many requests to be
+  // moved. If one key receives more requests than any upstream can run, the
+  // other keys move away from its owner. Otherwise their requests would be
+  // refused together with those of the hot key.
+  std::vector<AssignedRange> SplitAtHeavyKeys(const AssignedRange& aRange,
+                                              const HolderLoad& aFrom,
+                                              const HolderLoad& aTo) const
   {
     std::vector<AssignedRange> parts;
     int first = aRange.first;
@@ -234,10 +254,10 @@
       }
     };
     const auto inside =
-      RequestsIn(this->question.requests, aRange.first, aRange.last);
+      RequestsIn(this->input.requests, aRange.first, aRange.last);
     for (auto key = inside.begin(); key != inside.end();) {
       const auto next = std::upper_bound(key, inside.end(), *key);
-      if (!MayTake(aFrom, aTo, static_cast<std::size_t>(next - key))) {
+      if (!IsWorthMoving(aFrom, aTo, static_cast<std::size_t>(next - key))) {
         add(*key - 1);
         first = *key + 1;
       }
@@ -247,58 +267,60 @@
     return parts;
   }
 
-  bool Move(Load& aFrom, Load& aTo, double aRequests)
+  // Moves the narrowest run of keys that carries about aRequests requests.
+  bool MoveRequests(HolderLoad& aFrom, HolderLoad& aTo, double aRequests)
   {
     const auto wanted =
       static_cast<std::size_t>(std::max(1.0, std::round(aRequests)));
-    std::optional<Cut> best;
+    std::optional<KeyRun> best;
     for (const AssignedRange& range : this->ranges) {
       if (range.holder != aFrom.holder->holder) {
         continue;
       }
       for (const AssignedRange& part :
-           this->WithoutHeavyKeys(range, aFrom, aTo)) {
+           this->SplitAtHeavyKeys(range, aFrom, aTo)) {
         const auto inside =
-          RequestsIn(this->question.requests, part.first, part.last);
-        const auto cut =
-          NarrowestCut(part, inside, std::min(wanted, inside.size()));
-        if (cut && (!best || cut->requests > best->requests ||
-                    (cut->requests == best->requests &&
-                     cut->Width() < best->Width()))) {
-          best = cut;
+          RequestsIn(this->input.requests, part.first, part.last);
+        const auto run =
+          FindNarrowestRun(part, inside, std::min(wanted, inside.size()));
+        if (run && (!best || run->requests > best->requests ||
+                    (run->requests == best->requests &&
+                     run->Width() < best->Width()))) {
+          best = run;
         }
       }
     }
-    if (!best || best->requests == 0 || !MayTake(aFrom, aTo, best->requests)) {
+    if (!best || best->requests == 0 ||
+        !IsWorthMoving(aFrom, aTo, best->requests)) {
       return false;
     }
     aFrom.requests -= static_cast<double>(best->requests);
     aTo.requests += static_cast<double>(best->requests);
-    this->Apply(*best, aTo);
+    this->ApplyMove(*best, aTo);
     return true;
   }
 
-  void Apply(const Cut& aCut, Load& aTo)
+  void ApplyMove(const KeyRun& aRun, HolderLoad& aTo)
   {
     ++aTo.keys;
-    this->moves.push_back({ aCut.first, aCut.last, aTo.holder->holder });
-    Assignment cut{ 1, this->ranges };
-    Reassign(cut, aCut.first, aCut.last, aTo.holder->holder);
-    this->ranges = std::move(cut.ranges);
+    this->moves.push_back({ aRun.first, aRun.last, aTo.holder->holder });
+    Assignment planned{ 1, this->ranges };
+    Reassign(planned, aRun.first, aRun.last, aTo.holder->holder);
+    this->ranges = std::move(planned.ranges);
   }
 
-  const BalanceInput& question;
+  const BalanceInput& input;
   std::vector<AssignedRange> ranges;
-  std::vector<Load> loads;
+  std::vector<HolderLoad> loads;
   double capacity = 0;
   std::vector<BalanceMove> moves;
 };
 
 } // namespace
 
-std::vector<BalanceMove> PlanMoves(const BalanceInput& aQuestion)
+std::vector<BalanceMove> PlanMoves(const BalanceInput& aInput)
 {
-  return Planner(aQuestion).Plan();
+  return Planner(aInput).Plan();
 }
 
 Assignment AssignEvenly(const std::vector<Holder>& aHolders)
--- a/src/ownership/internal/keymap.cpp
+++ b/src/ownership/internal/keymap.cpp
@@ -1,4 +1,4 @@
-// Lookup in a map of keys.
+// Lookup in a key map, and the changes between two maps.
 
 #include "ownership/keymap.h"
 
@@ -9,9 +9,10 @@
 
 namespace {
 
-// A move is over within about one request's time; if no new map came by then,
-// the refusal was of a hold that had lapsed and was renewed.
-constexpr std::chrono::milliseconds kRefusalHolds{ 150 };
+// A move takes about as long as a request. If no new map has arrived by then,
+// the key was refused because a lease had expired, which has been renewed
+// since.
+constexpr std::chrono::milliseconds kRefusalDuration{ 150 };
 
 } // namespace
 
@@ -21,7 +22,8 @@
   std::vector<MapRange> changed;
   auto old = aOld.begin();
   for (const MapRange& range : aNew) {
-    // Cut where the old map has a border, so that only what differs is told.
+    // Split the range where the old map has a boundary, so that only the parts
+    // that differ are returned.
     std::uint32_t first = range.first;
     while (first <= range.last) {
       while (old != aOld.end() && old->last < first) {
@@ -31,10 +33,10 @@
       const auto last = static_cast<Key>(
         isKnown ? std::min(old->last, range.last) : range.last);
       if (!isKnown || old->upstream != range.upstream) {
-        const bool goesOn = !changed.empty() &&
-                            changed.back().last + 1U == first &&
-                            changed.back().upstream == range.upstream;
-        if (goesOn) {
+        const bool extendsLast = !changed.empty() &&
+                                 changed.back().last + 1U == first &&
+                                 changed.back().upstream == range.upstream;
+        if (extendsLast) {
           changed.back().last = last;
         } else {
           changed.push_back(
@@ -47,15 +49,15 @@
   return changed;
 }
 
-bool KeyMap::ApplyChanges(const MapVersion& aBase, const MapVersion& aMark,
+bool KeyMap::ApplyChanges(const MapVersion& aBase, const MapVersion& aVersion,
                           const std::vector<MapRange>& aChanges, TimePoint aNow)
 {
-  if (aBase != this->mark) {
+  if (aBase != this->version) {
     return false;
   }
   std::vector<MapRange> merged;
-  // Wider than a key, as an end may lie before the first and a begin behind the
-  // last.
+  // The parameters are int, as aLast may be -1 and aFirst may be above
+  // kLastKey.
   const auto add = [&merged](int aFirst, int aLast,
                              const state::UpstreamId& aUpstream) {
     if (aFirst > aLast) {
@@ -69,7 +71,7 @@
         { static_cast<Key>(aFirst), static_cast<Key>(aLast), aUpstream, {} });
     }
   };
-  // What is kept of the old map lies between the changes.
+  // The parts of the old map between the changes are kept.
   int next = 0;
   auto change = aChanges.begin();
   for (const MapRange& old : this->ranges) {
@@ -82,23 +84,24 @@
     add(next, old.last, old.upstream);
     next = std::max<int>(next, old.last + 1);
   }
-  return this->ReplaceIfNewer(aMark, std::move(merged), aNow);
+  return this->ReplaceIfNewer(aVersion, std::move(merged), aNow);
 }
 
-bool KeyMap::ReplaceIfNewer(const MapVersion& aMark,
+bool KeyMap::ReplaceIfNewer(const MapVersion& aVersion,
                             std::vector<MapRange> aRanges, TimePoint aNow)
 {
-  if (!aMark.IsNewerThan(this->mark)) {
+  if (!aVersion.IsNewerThan(this->version)) {
     return false;
   }
   for (MapRange& range : aRanges) {
-    const MapRange* before = this->Find(range.first);
-    const bool same = before != nullptr && before->upstream == range.upstream;
-    range.since = same ? before->since : aNow;
+    const MapRange* previous = this->Find(range.first);
+    const bool isSameUpstream =
+      previous != nullptr && previous->upstream == range.upstream;
+    range.since = isSameUpstream ? previous->since : aNow;
   }
-  this->mark = aMark;
+  this->version = aVersion;
   this->ranges = std::move(aRanges);
-  this->refused.clear();
+  this->refusedUntil.clear();
   return true;
 }
 
@@ -111,9 +114,9 @@
 
 KeyMap::Owner KeyMap::OwnerOf(Key aKey, TimePoint aNow) const
 {
-  const auto refusal = this->refused.find(aKey);
-  if (refusal != this->refused.end() && refusal->second > aNow) {
-    return { {}, refusal->second - kRefusalHolds };
+  const auto refusal = this->refusedUntil.find(aKey);
+  if (refusal != this->refusedUntil.end() && refusal->second > aNow) {
+    return { {}, refusal->second - kRefusalDuration };
   }
   const MapRange* range = this->Find(aKey);
   return range == nullptr ? Owner{} : Owner{ range->upstream, range->since };
@@ -121,7 +124,7 @@
 
 void KeyMap::OnNotOwner(Key aKey, TimePoint aNow)
 {
-  this->refused[aKey] = aNow + kRefusalHolds;
+  this->refusedUntil[aKey] = aNow + kRefusalDuration;
 }
 
 } // namespace kumquat::ownership
