--- a/src/ownership/tests/assigner_test.cpp
+++ b/src/ownership/tests/assigner_test.cpp
@@ -1,4 +1,5 @@
-// Who holds which keys while assigners, upstreams and the store fail.
+// Tests which upstreams hold leases on which keys while assigners, upstreams
+// and the store fail.
 
 #include "ownership/tests/assignmentsimulation.h"
 
@@ -9,317 +10,332 @@
 class AssignerTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(AssignerTest);
-  CPPUNIT_TEST(testAllKeysAreHeldSoonAfterTheStart);
-  CPPUNIT_TEST(testOneHostDealsTheKeys);
-  CPPUNIT_TEST(testLeavingUpstreamIsReleased);
-  CPPUNIT_TEST(testSilentUpstreamIsWaitedOut);
-  CPPUNIT_TEST(testRebornUpstreamNeedNotBeWaitedOut);
-  CPPUNIT_TEST(testKilledAssignerCostsNoHold);
+  CPPUNIT_TEST(testAllKeysLeasedSoonAfterStart);
+  CPPUNIT_TEST(testOnlyOneHostClaimsAtStart);
+  CPPUNIT_TEST(testLeavingUpstreamReleasesItsKeys);
+  CPPUNIT_TEST(testUnresponsiveUpstreamKeepsKeysUntilLeaseExpires);
+  CPPUNIT_TEST(testRestartedUpstreamNeedsNoLeaseExpiry);
+  CPPUNIT_TEST(testKilledAssignerCausesNoLeaseToExpire);
   CPPUNIT_TEST(testAssignerAndUpstreamLostTogether);
-  CPPUNIT_TEST(testStoreOutageCostsNoHold);
-  CPPUNIT_TEST(testPlannedStopInAnOutageKeepsTheKeys);
-  CPPUNIT_TEST(testAssignerTurnedAwayAndCutOffStops);
-  CPPUNIT_TEST(testThawedAssignerChangesNothing);
-  CPPUNIT_TEST(testWokenAssignerTakesNoOldWordForFresh);
-  CPPUNIT_TEST(testLateGrantIsFencedOff);
-  CPPUNIT_TEST(testLostAnswersOfTheStore);
-  CPPUNIT_TEST(testSilentUpstreamIsTriedRarely);
-  CPPUNIT_TEST(testRandomTroubleNeverGivesAKeyTwice);
+  CPPUNIT_TEST(testStoreOutageCausesNoLeaseToExpire);
+  CPPUNIT_TEST(testPlannedStopDuringStoreOutageKeepsLeases);
+  CPPUNIT_TEST(testIsolatedAssignerStopsRenewing);
+  CPPUNIT_TEST(testResumedAssignerChangesNothing);
+  CPPUNIT_TEST(testResumedAssignerIgnoresStaleDigests);
+  CPPUNIT_TEST(testLateGrantIsRejectedByFencingToken);
+  CPPUNIT_TEST(testLostStoreResponses);
+  CPPUNIT_TEST(testUnresponsiveUpstreamIsRetriedWithBackoff);
+  CPPUNIT_TEST(testRandomFaultsNeverCauseTwoHolders);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testAllKeysAreHeldSoonAfterTheStart()
+  void testAllKeysLeasedSoonAfterStart()
   {
-    AssignmentSimulation world(12, 14);
-    CPPUNIT_ASSERT(
-      world.RunUntil([&] { return world.AllHeld(); }, milliseconds(6000)));
-    CPPUNIT_ASSERT(!world.AssignerName().empty());
+    AssignmentSimulation simulation(12, 14);
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      [&] { return simulation.AreAllKeysLeased(); }, milliseconds(6000)));
+    CPPUNIT_ASSERT(!simulation.AssignerName().empty());
   }
 
-  // Hosts and upstreams start together, and an upstream shows each 300 ms. The
-  // hosts wait until no more seem to come; when the time for that was over all
-  // at once, four of them claimed the keys one after the other within 100 ms,
-  // before they had heard of each other.
-  void testOneHostDealsTheKeys()
+  // Hosts and upstreams start together, and another upstream appears every
+  // 300 ms. The hosts wait until no more seem to appear. When that time ended
+  // for all hosts at once, four of them claimed the keys one after the other
+  // within 100 ms, before they had received digests from each other.
+  void testOnlyOneHostClaimsAtStart()
   {
-    AssignmentSimulation world(12, 2);
-    world.digestPause = milliseconds(300);
+    AssignmentSimulation simulation(12, 2);
+    simulation.digestInterval = milliseconds(300);
     for (int i = 2; i < 17; ++i) {
-      world.AddUpstream("u" + std::to_string(i), 1);
-      world.RunFor(milliseconds(300));
+      simulation.AddUpstream("u" + std::to_string(i), 1);
+      simulation.RunFor(milliseconds(300));
     }
-    Settle(world);
-    const auto wins =
-      std::ranges::count_if(world.Log(), [](const std::string& aLine) {
+    Settle(simulation);
+    const auto claims =
+      std::ranges::count_if(simulation.Log(), [](const std::string& aLine) {
         return aLine.find("assigner-won") != std::string::npos;
       });
-    CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{ 1 }, wins);
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{ 1 }, claims);
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // An operator takes an upstream away. It is alive, so its keys are released
-  // and served elsewhere within moments, not after its hold has run out.
-  void testLeavingUpstreamIsReleased()
+  // An operator removes an upstream. It is running, so it releases its keys and
+  // others serve them within 900 ms, not only after its lease has expired.
+  void testLeavingUpstreamReleasesItsKeys()
   {
-    AssignmentSimulation world(5, 4);
-    Settle(world);
-    world.Upstream("u1").mayOwn = false;
-    const bool moved = world.RunUntil(
-      [&] { return world.Upstream("u1").holds.empty() && world.AllHeld(); },
+    AssignmentSimulation simulation(5, 4);
+    Settle(simulation);
+    simulation.Upstream("u1").mayOwn = false;
+    const bool moved = simulation.RunUntil(
+      [&] {
+        return simulation.Upstream("u1").leases.empty() &&
+               simulation.AreAllKeysLeased();
+      },
       milliseconds(900));
     CPPUNIT_ASSERT(moved);
-    CPPUNIT_ASSERT(world.Upstream("u1").releases > 0);
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    CPPUNIT_ASSERT(simulation.Upstream("u1").releases > 0);
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // An upstream stops answering its orders while callers' requests still reach
-  // it. It may go on serving its keys until its hold runs out, so nobody else
-  // may have them before; after that they are served again.
-  void testSilentUpstreamIsWaitedOut()
+  // An upstream stops responding to lease commands while callers' requests
+  // still reach it. It may serve its keys until its lease expires, so no other
+  // upstream may get them before. After that the keys are served again.
+  void testUnresponsiveUpstreamKeepsKeysUntilLeaseExpires()
   {
-    AssignmentSimulation world(5, 4);
-    Settle(world);
-    world.Upstream("u1").silent = true;
-    const bool back = world.RunUntil(
+    AssignmentSimulation simulation(5, 4);
+    Settle(simulation);
+    simulation.Upstream("u1").unresponsive = true;
+    const bool back = simulation.RunUntil(
       [&] {
-        return world.AllHeld() && !world.Upstream("u1").holds.empty() &&
-               world.Upstream("u1").holds.front().until <= world.Now();
+        return simulation.AreAllKeysLeased() &&
+               !simulation.Upstream("u1").leases.empty() &&
+               simulation.Upstream("u1").leases.front().expiresAt <=
+                 simulation.Now();
       },
       milliseconds(7000));
     CPPUNIT_ASSERT(back);
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // An upstream crashes and is back at once under its old name: the new life
-  // holds nothing, and its keys need not wait for the hold of the old one.
-  void testRebornUpstreamNeedNotBeWaitedOut()
+  // An upstream crashes and restarts at once under the same name. The new
+  // incarnation holds no leases, so its keys need not wait until the lease of
+  // the old incarnation has expired.
+  void testRestartedUpstreamNeedsNoLeaseExpiry()
   {
-    AssignmentSimulation world(5, 4);
-    Settle(world);
-    world.AddUpstream("u1", 2);
-    CPPUNIT_ASSERT(
-      world.RunUntil([&] { return world.AllHeld(); }, milliseconds(1000)));
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    AssignmentSimulation simulation(5, 4);
+    Settle(simulation);
+    simulation.AddUpstream("u1", 2);
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      [&] { return simulation.AreAllKeysLeased(); }, milliseconds(1000)));
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // The host that assigns is killed. Another takes over before any hold runs
-  // out, and goes on with what it finds: no caller notices.
-  void testKilledAssignerCostsNoHold()
+  // The assigner's host is killed. Another host takes over before any lease
+  // expires and keeps the assignment that it finds, so no caller is affected.
+  void testKilledAssignerCausesNoLeaseToExpire()
   {
-    AssignmentSimulation world(12, 14);
-    Settle(world);
-    const std::string before = world.AssignerName();
-    world.KillHost(before);
+    AssignmentSimulation simulation(12, 14);
+    Settle(simulation);
+    const std::string before = simulation.AssignerName();
+    simulation.KillHost(before);
     for (int i = 0; i < 80; ++i) {
-      world.RunFor(milliseconds(100));
-      CPPUNIT_ASSERT(world.AllHeld());
+      simulation.RunFor(milliseconds(100));
+      CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
     }
-    CPPUNIT_ASSERT(world.AssignerName() != before);
-    CPPUNIT_ASSERT(!world.AssignerName().empty());
+    CPPUNIT_ASSERT(simulation.AssignerName() != before);
+    CPPUNIT_ASSERT(!simulation.AssignerName().empty());
   }
 
-  // A data centre loses power with the assigner and an upstream in it, and
-  // neither comes back. The successor does not know what the lost assigner
-  // still sends, but the other hosts do: within 9 s the keys are served again.
-  // Waiting for the longest time that an assigner could go on alone kept them
-  // unserved for 15 s.
+  // A data centre with the assigner and an upstream in it loses power, and
+  // neither returns. The successor does not know whether the lost assigner
+  // still renews leases, but the other hosts report which map they use. Within
+  // 9 s the keys are served again. Before, the successor waited for the longest
+  // time that an assigner could continue alone, and the keys were not served
+  // for 15 s.
   void testAssignerAndUpstreamLostTogether()
   {
-    AssignmentSimulation world(12, 14);
-    Settle(world);
-    world.KillHost(world.AssignerName());
-    world.Upstream("u3").silent = true;
-    world.Upstream("u3").mayOwn = false;
-    world.RunFor(milliseconds(3200));
-    CPPUNIT_ASSERT(
-      world.RunUntil([&] { return world.AllHeld(); }, milliseconds(5800)));
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    AssignmentSimulation simulation(12, 14);
+    Settle(simulation);
+    simulation.KillHost(simulation.AssignerName());
+    simulation.Upstream("u3").unresponsive = true;
+    simulation.Upstream("u3").mayOwn = false;
+    simulation.RunFor(milliseconds(3200));
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      [&] { return simulation.AreAllKeysLeased(); }, milliseconds(5800)));
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // The store is away for everybody for half a minute. Nobody can claim or
-  // change anything, and every upstream keeps what it has.
-  void testStoreOutageCostsNoHold()
+  // The store is unavailable to all hosts for half a minute. No host can claim
+  // or change the assignment, and every upstream keeps its leases.
+  void testStoreOutageCausesNoLeaseToExpire()
   {
-    AssignmentSimulation world(12, 14);
-    Settle(world);
-    world.storeDown = true;
+    AssignmentSimulation simulation(12, 14);
+    Settle(simulation);
+    simulation.storeUnavailable = true;
     for (int i = 0; i < 300; ++i) {
-      world.RunFor(milliseconds(100));
-      CPPUNIT_ASSERT(world.AllHeld());
+      simulation.RunFor(milliseconds(100));
+      CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
     }
-    world.storeDown = false;
-    world.RunFor(milliseconds(3000));
-    CPPUNIT_ASSERT(world.AllHeld());
+    simulation.storeUnavailable = false;
+    simulation.RunFor(milliseconds(3000));
+    CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
   }
 
-  // The store is out and hosts are restarted one after the other, among them
-  // the assigner's. Nobody can claim its keys. When it stopped renewing with
-  // the first word of its stop, lookups were refused for four seconds.
-  void testPlannedStopInAnOutageKeepsTheKeys()
+  // The store is unavailable and hosts are restarted one after the other, among
+  // them the assigner's. No other host can claim its keys. When the assigner
+  // stopped renewing leases as soon as its planned stop began, lookups were
+  // refused for four seconds.
+  void testPlannedStopDuringStoreOutageKeepsLeases()
   {
-    AssignmentSimulation world(12, 14);
-    Settle(world);
-    const std::string old = world.AssignerName();
-    world.storeDown = true;
-    world.AssignerOf(old).Leave();
+    AssignmentSimulation simulation(12, 14);
+    Settle(simulation);
+    const std::string old = simulation.AssignerName();
+    simulation.storeUnavailable = true;
+    simulation.AssignerOf(old).Leave();
     for (int i = 0; i < 40; ++i) {
-      world.RunFor(milliseconds(100));
-      CPPUNIT_ASSERT(world.AllHeld());
+      simulation.RunFor(milliseconds(100));
+      CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
     }
-    world.KillHost(old);
-    world.RunFor(milliseconds(1000));
-    world.storeDown = false;
+    simulation.KillHost(old);
+    simulation.RunFor(milliseconds(1000));
+    simulation.storeUnavailable = false;
     for (int i = 0; i < 50; ++i) {
-      world.RunFor(milliseconds(100));
-      CPPUNIT_ASSERT(world.AllHeld());
+      simulation.RunFor(milliseconds(100));
+      CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
     }
-    CPPUNIT_ASSERT(world.AssignerName() != old);
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    CPPUNIT_ASSERT(simulation.AssignerName() != old);
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // The assigner hears neither the store nor any peer, but reaches upstreams.
-  // Another takes over and moves keys away from an upstream that does not
-  // answer it; the old one must have stopped renewing that upstream's hold.
-  void testAssignerTurnedAwayAndCutOffStops()
+  // The assigner reaches upstreams, but neither the store nor any peer. Another
+  // host takes over and may move keys away from an upstream that does not
+  // respond to it. By then the old assigner must have stopped renewing that
+  // upstream's lease.
+  void testIsolatedAssignerStopsRenewing()
   {
-    AssignmentSimulation world(12, 14);
-    Settle(world);
-    const std::string old = world.AssignerName();
-    world.turnedAway.insert(old);
-    world.cutFromPeers.insert(old);
-    world.RunFor(milliseconds(12'000));
-    CPPUNIT_ASSERT(world.AssignerName() != old);
-    CPPUNIT_ASSERT(world.AllHeld());
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    AssignmentSimulation simulation(12, 14);
+    Settle(simulation);
+    const std::string old = simulation.AssignerName();
+    simulation.rejectedByStore.insert(old);
+    simulation.cutFromPeers.insert(old);
+    simulation.RunFor(milliseconds(12'000));
+    CPPUNIT_ASSERT(simulation.AssignerName() != old);
+    CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // The assigner stands still for some seconds and wakes up as if nothing had
-  // happened, with keys moved by its successor meanwhile. Its old orders must
-  // not bring a key back.
-  void testThawedAssignerChangesNothing()
+  // The assigner is paused for some seconds, and its successor moves keys. When
+  // it resumes, it does not know this yet. Its old lease commands must not move
+  // a key back.
+  void testResumedAssignerChangesNothing()
   {
-    AssignmentSimulation world(12, 14);
-    Settle(world);
-    const std::string old = world.AssignerName();
-    world.Freeze(old);
-    world.RunFor(milliseconds(2500));
-    world.Upstream("u2").mayOwn = false;
-    world.RunFor(milliseconds(2000));
-    world.Upstream("u2").mayOwn = true;
-    world.Thaw(old);
-    world.RunFor(milliseconds(5000));
-    CPPUNIT_ASSERT(world.AllHeld());
-    CPPUNIT_ASSERT(!world.AssignerOf(old).IsAssigner());
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    AssignmentSimulation simulation(12, 14);
+    Settle(simulation);
+    const std::string old = simulation.AssignerName();
+    simulation.Pause(old);
+    simulation.RunFor(milliseconds(2500));
+    simulation.Upstream("u2").mayOwn = false;
+    simulation.RunFor(milliseconds(2000));
+    simulation.Upstream("u2").mayOwn = true;
+    simulation.Resume(old);
+    simulation.RunFor(milliseconds(5000));
+    CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
+    CPPUNIT_ASSERT(!simulation.AssignerOf(old).IsAssigner());
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // The assigner's host stands still for twelve seconds. Its successor cannot
-  // reach one upstream, waits its hold out and gives its keys to others. Then
-  // the host wakes, and its connections are full of digests by which its peers
-  // still went by its map. Taken for fresh they let it renew the hold, and the
-  // upstream, within reach again, served keys that others had by then.
-  void testWokenAssignerTakesNoOldWordForFresh()
+  // The assigner's host is paused for twelve seconds. Its successor cannot
+  // reach one upstream, waits until its lease has expired and reassigns its
+  // keys. Then the host resumes, and its connections are full of digests which
+  // report that its peers use its map. When it took these as recent, it renewed
+  // the lease, and the upstream, reachable again, served keys that others had
+  // by then.
+  void testResumedAssignerIgnoresStaleDigests()
   {
-    AssignmentSimulation world(12, 14);
-    Settle(world);
-    const std::string old = world.AssignerName();
-    // Its peers' digests have been sent and not arrived.
-    world.RunFor(kTick - world.Now().time_since_epoch() % kTick +
-                 milliseconds(1));
-    world.Freeze(old);
-    // Orders that were under way come to their end.
-    world.RunFor(kTick);
-    world.Upstream("u2").silent = true;
-    world.RunFor(milliseconds(12'000));
-    CPPUNIT_ASSERT(world.AllHeld());
-    world.Upstream("u2").silent = false;
-    world.Thaw(old);
-    world.RunFor(milliseconds(3000));
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    AssignmentSimulation simulation(12, 14);
+    Settle(simulation);
+    const std::string old = simulation.AssignerName();
+    // The peers' digests have been sent and have not arrived yet.
+    simulation.RunFor(kTick - simulation.Now().time_since_epoch() % kTick +
+                      milliseconds(1));
+    simulation.Pause(old);
+    // Pending lease commands end.
+    simulation.RunFor(kTick);
+    simulation.Upstream("u2").unresponsive = true;
+    simulation.RunFor(milliseconds(12'000));
+    CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
+    simulation.Upstream("u2").unresponsive = false;
+    simulation.Resume(old);
+    simulation.RunFor(milliseconds(3000));
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // An upstream answers no grant and carries it out five seconds later, when
-  // its keys are long elsewhere. It has seen the release's higher token by
-  // then, so the late grant is refused.
-  void testLateGrantIsFencedOff()
+  // An upstream does not respond to a grant and executes it five seconds later,
+  // when its keys have moved to others. It has seen the release with a higher
+  // fencing token by then, so it rejects the late grant.
+  void testLateGrantIsRejectedByFencingToken()
   {
-    AssignmentSimulation world(5, 4);
-    Settle(world);
-    world.Upstream("u1").late = milliseconds(5000);
-    world.RunFor(milliseconds(20'000));
-    world.Upstream("u1").late = milliseconds(0);
-    world.RunFor(milliseconds(8000));
-    CPPUNIT_ASSERT(world.AllHeld());
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    AssignmentSimulation simulation(5, 4);
+    Settle(simulation);
+    simulation.Upstream("u1").grantDelay = milliseconds(5000);
+    simulation.RunFor(milliseconds(20'000));
+    simulation.Upstream("u1").grantDelay = milliseconds(0);
+    simulation.RunFor(milliseconds(8000));
+    CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // A third of the writes are carried out, now or seconds later, and never
-  // answered, while upstreams leave and return. What was written is read back.
-  void testLostAnswersOfTheStore()
+  // A third of the writes are executed, at once or seconds later, and get no
+  // response, while upstreams leave and return. The assigner must read back
+  // what was written.
+  void testLostStoreResponses()
   {
-    AssignmentSimulation world(5, 6);
-    Settle(world);
-    world.lostAnswers = 35;
+    AssignmentSimulation simulation(5, 6);
+    Settle(simulation);
+    simulation.lostResponsePercent = 35;
     for (int i = 0; i < 12; ++i) {
-      FakeUpstream& one = world.Upstream("u" + std::to_string(i % 6));
-      one.mayOwn = false;
-      world.RunFor(milliseconds(2500));
-      one.mayOwn = true;
+      FakeUpstream& upstream = simulation.Upstream("u" + std::to_string(i % 6));
+      upstream.mayOwn = false;
+      simulation.RunFor(milliseconds(2500));
+      upstream.mayOwn = true;
     }
-    world.lostAnswers = 0;
-    world.RunFor(milliseconds(6000));
-    CPPUNIT_ASSERT(world.AllHeld());
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    simulation.lostResponsePercent = 0;
+    simulation.RunFor(milliseconds(6000));
+    CPPUNIT_ASSERT(simulation.AreAllKeysLeased());
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // An upstream stays silent for good, though its entry stands. It is tried
-  // again less and less often, and with one piece of keys at a time: each try
-  // takes those keys out of service until the hold has run out.
-  void testSilentUpstreamIsTriedRarely()
+  // An upstream never responds again, but remains in the list of upstreams. It
+  // is assigned keys again at growing intervals and only one range at a time,
+  // as the keys of each attempt are not served until the lease has expired.
+  void testUnresponsiveUpstreamIsRetriedWithBackoff()
   {
-    AssignmentSimulation world(5, 6);
-    Settle(world);
-    world.Upstream("u1").silent = true;
-    world.RunFor(milliseconds(8000));
-    int gaps = 0;
+    AssignmentSimulation simulation(5, 6);
+    Settle(simulation);
+    simulation.Upstream("u1").unresponsive = true;
+    simulation.RunFor(milliseconds(8000));
+    int gapCount = 0;
     for (int i = 0; i < 300; ++i) {
-      world.RunFor(milliseconds(100));
-      gaps += world.AllHeld() ? 0 : 1;
+      simulation.RunFor(milliseconds(100));
+      gapCount += simulation.AreAllKeysLeased() ? 0 : 1;
     }
-    CPPUNIT_ASSERT(gaps < 130);
-    CPPUNIT_ASSERT_EQUAL(std::string(), world.Violation());
+    CPPUNIT_ASSERT(gapCount < 130);
+    CPPUNIT_ASSERT_EQUAL(std::string(), simulation.Violation());
   }
 
-  // Everything at once, for a minute, by 40 seeds: kills, freezes, cuts, an
-  // outage for some or all, lost answers, upstreams that fall silent, carry
-  // orders out late, leave and start anew. No key is ever held twice, and
-  // within 25 s of the last trouble every key is held again.
-  void testRandomTroubleNeverGivesAKeyTwice()
+  // All faults together, for a minute with each of 40 seeds: hosts are killed,
+  // paused and cut off, the store is unavailable to some or all hosts, its
+  // responses get lost, and upstreams stop responding, execute commands late,
+  // leave and restart. No two upstreams may ever hold a lease on one key, and
+  // within 25 s of the last fault all keys must be leased again.
+  void testRandomFaultsNeverCauseTwoHolders()
   {
     constexpr unsigned kSeeds = 40;
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-      AssignmentSimulation world(7, 6, seed);
-      Settle(world);
+      AssignmentSimulation simulation(7, 6, seed);
+      Settle(simulation);
       std::mt19937 random(seed);
       for (int i = 0; i < 60; ++i) {
-        Trouble(world, random);
-        world.RunFor(milliseconds(1000));
+        InjectFault(simulation, random);
+        simulation.RunFor(milliseconds(1000));
       }
-      Calm(world);
-      const bool held =
-        world.RunUntil([&] { return world.AllHeld(); }, milliseconds(25'000));
+      EndFaults(simulation);
+      const bool allLeased = simulation.RunUntil(
+        [&] { return simulation.AreAllKeysLeased(); }, milliseconds(25'000));
       const std::string name = "seed " + std::to_string(seed) + ": ";
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::string(), world.Violation());
-      CPPUNIT_ASSERT_MESSAGE(name + "keys are left over", held);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::string(), simulation.Violation());
+      CPPUNIT_ASSERT_MESSAGE(
+        name +
+          "some keys are left over without a holder 25 s after the last fault",
+        allLeased);
     }
   }
 
 private:
-  static void Settle(AssignmentSimulation& aWorld)
+  static void Settle(AssignmentSimulation& aSimulation)
   {
-    CPPUNIT_ASSERT(
-      aWorld.RunUntil([&] { return aWorld.AllHeld(); }, milliseconds(8000)));
-    aWorld.RunFor(milliseconds(2000));
+    CPPUNIT_ASSERT(aSimulation.RunUntil(
+      [&] { return aSimulation.AreAllKeysLeased(); }, milliseconds(8000)));
+    aSimulation.RunFor(milliseconds(2000));
   }
 
   static std::string Pick(const std::vector<std::string>& aNames,
@@ -328,82 +344,84 @@
     return aNames[aRandom() % aNames.size()];
   }
 
-  static void Trouble(AssignmentSimulation& aWorld, std::mt19937& aRandom)
+  static void InjectFault(AssignmentSimulation& aSimulation,
+                          std::mt19937& aRandom)
   {
-    const std::string host = Pick(aWorld.Hosts(), aRandom);
-    const std::string assigner = aWorld.AssignerName();
+    const std::string host = Pick(aSimulation.Hosts(), aRandom);
+    const std::string assigner = aSimulation.AssignerName();
     const std::string victim =
       aRandom() % 2 == 0 && !assigner.empty() ? assigner : host;
     FakeUpstream& upstream =
-      aWorld.Upstream("u" + std::to_string(aRandom() % 6));
+      aSimulation.Upstream("u" + std::to_string(aRandom() % 6));
     switch (aRandom() % 14) {
       case 0:
-        aWorld.KillHost(victim);
-        aWorld.StartHost(victim);
+        aSimulation.KillHost(victim);
+        aSimulation.StartHost(victim);
         return;
       case 1:
-        if (!aWorld.IsFrozen(victim)) {
-          aWorld.Freeze(victim);
+        if (!aSimulation.IsPaused(victim)) {
+          aSimulation.Pause(victim);
         }
         return;
       case 2:
-        for (const std::string& name : aWorld.Hosts()) {
-          if (aWorld.IsFrozen(name)) {
-            aWorld.Thaw(name);
+        for (const std::string& name : aSimulation.Hosts()) {
+          if (aSimulation.IsPaused(name)) {
+            aSimulation.Resume(name);
           }
         }
         return;
       case 3:
-        aWorld.storeDown = !aWorld.storeDown;
+        aSimulation.storeUnavailable = !aSimulation.storeUnavailable;
         return;
       case 4:
-        aWorld.turnedAway.insert(victim);
+        aSimulation.rejectedByStore.insert(victim);
         return;
       case 5:
-        aWorld.turnedAway.clear();
+        aSimulation.rejectedByStore.clear();
         return;
       case 6:
-        aWorld.cutFromPeers.insert(victim);
+        aSimulation.cutFromPeers.insert(victim);
         return;
       case 7:
-        aWorld.cutFromPeers.clear();
+        aSimulation.cutFromPeers.clear();
         return;
       case 8:
-        aWorld.lostAnswers = aRandom() % 2 == 0 ? 35 : 0;
+        aSimulation.lostResponsePercent = aRandom() % 2 == 0 ? 35 : 0;
         return;
       case 9:
-        upstream.silent = !upstream.silent;
+        upstream.unresponsive = !upstream.unresponsive;
         return;
       case 10:
-        upstream.late = milliseconds(upstream.late.count() > 0 ? 0 : 4000);
+        upstream.grantDelay =
+          milliseconds(upstream.grantDelay.count() > 0 ? 0 : 4000);
         return;
       case 11:
         upstream.mayOwn = !upstream.mayOwn;
         return;
       case 12:
-        aWorld.AddUpstream(upstream.holder.upstream.value,
-                           upstream.holder.startedMs + 1);
+        aSimulation.AddUpstream(upstream.holder.upstream.value,
+                                upstream.holder.startedMs + 1);
         return;
       default:
         return;
     }
   }
 
-  static void Calm(AssignmentSimulation& aWorld)
+  static void EndFaults(AssignmentSimulation& aSimulation)
   {
-    aWorld.storeDown = false;
-    aWorld.lostAnswers = 0;
-    aWorld.turnedAway.clear();
-    aWorld.cutFromPeers.clear();
-    for (const std::string& name : aWorld.Hosts()) {
-      if (aWorld.IsFrozen(name)) {
-        aWorld.Thaw(name);
+    aSimulation.storeUnavailable = false;
+    aSimulation.lostResponsePercent = 0;
+    aSimulation.rejectedByStore.clear();
+    aSimulation.cutFromPeers.clear();
+    for (const std::string& name : aSimulation.Hosts()) {
+      if (aSimulation.IsPaused(name)) {
+        aSimulation.Resume(name);
       }
     }
-    for (auto& [name, one] : aWorld.Upstreams()) {
-      one.silent = false;
-      one.late = milliseconds(0);
-      one.mayOwn = true;
+    for (auto& [name, upstream] : aSimulation.Upstreams()) {
+      upstream.unresponsive = false;
+      upstream.grantDelay = milliseconds(0);
+      upstream.mayOwn = true;
     }
   }
 };
--- a/src/ownership/tests/assignmentsimulation.h
+++ b/src/ownership/tests/assignmentsimulation.h
@@ -1,7 +1,8 @@
-// Hosts with assigners, a store and upstreams that hold keys, in one process
-// with a clock held in hand. Answers take time, get lost or come late, hosts
-// freeze, stop and are cut off; after every step the world checks that no key
-// is held by two upstreams.
+// Simulates hosts with assigners, a store, and upstreams that hold leases on
+// keys, in one process and in virtual time. Responses take time, get lost or
+// arrive late, and hosts are paused, stopped and cut off from others. After
+// each event the simulation checks that no two upstreams hold a lease on one
+// key.
 
 #pragma once
 
@@ -24,31 +25,32 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kTick{ 100 };
-constexpr milliseconds kWay{ 2 };
+constexpr milliseconds kLinkDelay{ 2 };
 constexpr milliseconds kStoreTimeout{ 1500 };
-constexpr milliseconds kOrderTimeout{ 700 };
+constexpr milliseconds kCommandTimeout{ 700 };
 
+// An upstream with the leases that it was granted.
 struct FakeUpstream
 {
-  struct Held
+  struct Lease
   {
     Key first = 0;
     Key last = 0;
-    FencingToken fence = 0;
-    TimePoint until;
+    FencingToken fencingToken = 0;
+    TimePoint expiresAt;
   };
 
   Holder holder;
   bool alive = true;
   bool mayOwn = true;
-  // No order reaches it; requests may.
-  bool silent = false;
-  // It applies grants, unanswered, so much later; their time counts from their
-  // arrival.
-  milliseconds late{ 0 };
-  std::vector<Held> holds;
-  // Highest tokens seen, by range.
-  std::vector<Held> seen;
+  // No lease command reaches the upstream, but requests may.
+  bool unresponsive = false;
+  // If above zero, the upstream sends no response to a grant and executes it so
+  // much later. The lease still counts from the arrival of the grant.
+  milliseconds grantDelay{ 0 };
+  std::vector<Lease> leases;
+  // Fencing tokens of the grants and releases seen, by range.
+  std::vector<Lease> seenTokens;
   int releases = 0;
 };
 
@@ -79,40 +81,44 @@
       const auto work = std::move(first->second);
       this->events.erase(first);
       work();
-      this->Check();
+      this->CheckForTwoHolders();
     }
     this->now = end;
   }
 
-  // True as soon as it holds; false where it does not within aTime.
-  bool RunUntil(const std::function<bool()>& aHolds, milliseconds aTime)
+  // Runs until aCondition is true. Returns false if that takes longer than
+  // aTime.
+  bool RunUntil(const std::function<bool()>& aCondition, milliseconds aTime)
   {
     const TimePoint end = this->now + aTime;
-    while (!aHolds() && this->now < end) {
+    while (!aCondition() && this->now < end) {
       this->RunFor(milliseconds(10));
     }
-    return aHolds();
+    return aCondition();
   }
 
-  // Between two digests of a host.
-  milliseconds digestPause{ kTick };
+  // Time between two digests of a host.
+  milliseconds digestInterval{ kTick };
 
-  // --- troubles
+  // --- faults
 
-  bool storeDown = false;
-  // Writes that are carried out and not answered, in percent.
-  int lostAnswers = 0;
-  // Hosts that the store turns away.
-  std::set<std::string> turnedAway;
-  // Hosts that hear no peer and are not heard; they reach upstreams and store.
+  bool storeUnavailable = false;
+  // Percentage of writes that get no response. They are executed at once, or
+  // seconds later if their conditions still hold.
+  int lostResponsePercent = 0;
+  // Hosts that the store rejects; their calls time out.
+  std::set<std::string> rejectedByStore;
+  // Hosts that exchange no digests with peers, but reach upstreams and the
+  // store.
   std::set<std::string> cutFromPeers;
 
-  // By value: the name may be the one that is overwritten.
-  void AddUpstream(std::string aName, std::int64_t aBorn)
+  // Starts an upstream, or a new incarnation of it. The name is passed by
+  // value, as it may belong to the entry that is overwritten.
+  void AddUpstream(std::string aName, std::int64_t aStartedMs)
   {
-    FakeUpstream& one = this->upstreams[aName];
-    one = {};
-    one.holder = { { aName }, aBorn };
+    FakeUpstream& upstream = this->upstreams[aName];
+    upstream = {};
+    upstream.holder = { { aName }, aStartedMs };
   }
 
   void StartHost(const std::string& aName)
@@ -133,19 +139,16 @@
     this->hosts.erase(aName);
   }
 
-  void Freeze(const std::string& aName)
-  {
-    this->hosts.at(aName)->frozen = true;
-  }
+  void Pause(const std::string& aName) { this->hosts.at(aName)->paused = true; }
 
-  void Thaw(const std::string& aName)
+  void Resume(const std::string& aName)
   {
     const HostPtr host = this->hosts.at(aName);
-    host->frozen = false;
-    const auto held = std::move(host->held);
-    host->held.clear();
-    for (const auto& work : held) {
-      this->At(milliseconds(1), work);
+    host->paused = false;
+    const auto deferred = std::move(host->deferred);
+    host->deferred.clear();
+    for (const auto& work : deferred) {
+      this->Schedule(milliseconds(1), work);
     }
   }
 
@@ -165,14 +168,15 @@
     return names;
   }
 
-  bool IsFrozen(const std::string& aName) const
+  bool IsPaused(const std::string& aName) const
   {
-    return this->hosts.at(aName)->frozen;
+    return this->hosts.at(aName)->paused;
   }
 
   // --- views
 
-  // The host whose claim the store has; empty where it does not run.
+  // The host that the stored claim names; empty unless it is running and acts
+  // as the assigner.
   std::string AssignerName() const
   {
     const auto found = this->hosts.find(this->stored.assigner.host.value);
@@ -186,13 +190,13 @@
     return *this->hosts.at(aName)->assigner;
   }
 
-  // Upstream that holds the key now; empty where none does.
+  // The upstream that holds a lease on the key now; empty if none does.
   std::string HolderOf(Key aKey) const
   {
-    for (const auto& [name, one] : this->upstreams) {
-      for (const FakeUpstream::Held& held : one.holds) {
-        if (one.alive && held.first <= aKey && aKey <= held.last &&
-            held.until > this->now) {
+    for (const auto& [name, upstream] : this->upstreams) {
+      for (const FakeUpstream::Lease& lease : upstream.leases) {
+        if (upstream.alive && lease.first <= aKey && aKey <= lease.last &&
+            lease.expiresAt > this->now) {
           return name;
         }
       }
@@ -200,7 +204,7 @@
     return "";
   }
 
-  bool AllHeld() const
+  bool AreAllKeysLeased() const
   {
     constexpr int kStep = 257;
     for (int key = 0; key <= kLastKey; key += kStep) {
@@ -211,7 +215,8 @@
     return true;
   }
 
-  // Keys held twice, with the time; empty where that never was.
+  // The first key that two upstreams held a lease on, their names and the time;
+  // empty if that never happened.
   const std::string& Violation() const { return this->violation; }
   const std::vector<std::string>& Log() const { return this->log; }
 
@@ -221,36 +226,37 @@
     std::string name;
     state::Incarnation incarnation = 0;
     bool alive = true;
-    bool frozen = false;
-    std::vector<std::function<void()>> held;
+    bool paused = false;
+    std::vector<std::function<void()>> deferred;
     std::unique_ptr<Assigner> assigner;
     std::map<std::string, PeerStatus> peers;
-    MapVersion map;
-    DigestSendTimes times;
+    MapVersion mapVersion;
+    DigestSendTimes digestSendTimes;
     TimePoint digestDue;
-    // Last digest of each peer.
-    std::map<std::string, std::int64_t> heard;
+    // Number of the last digest received from each peer.
+    std::map<std::string, std::int64_t> lastDigestNumbers;
 
     state::HostRef Ref() const { return { { this->name }, this->incarnation }; }
   };
 
   using HostPtr = std::shared_ptr<Host>;
 
-  void At(milliseconds aDelay, std::function<void()> aWork)
+  void Schedule(milliseconds aDelay, std::function<void()> aWork)
   {
     this->events.emplace(this->now + aDelay, std::move(aWork));
   }
 
-  // Runs on the host: not when it has ended, and later when it stands still.
-  void OnHost(const HostPtr& aHost, milliseconds aDelay,
-              std::function<void()> aWork)
+  // Schedules work on a host. It is dropped if the host has stopped, and
+  // deferred until the host resumes if it is paused.
+  void RunOnHost(const HostPtr& aHost, milliseconds aDelay,
+                 std::function<void()> aWork)
   {
-    this->At(aDelay, [aHost, work = std::move(aWork)] {
+    this->Schedule(aDelay, [aHost, work = std::move(aWork)] {
       if (!aHost->alive) {
         return;
       }
-      if (aHost->frozen) {
-        aHost->held.push_back(work);
+      if (aHost->paused) {
+        aHost->deferred.push_back(work);
         return;
       }
       work();
@@ -259,10 +265,10 @@
 
   void Tick(const HostPtr& aHost)
   {
-    this->OnHost(aHost, kTick, [this, aHost] {
+    this->RunOnHost(aHost, kTick, [this, aHost] {
       aHost->assigner->OnTimer();
       if (this->now >= aHost->digestDue) {
-        aHost->digestDue = this->now + this->digestPause;
+        aHost->digestDue = this->now + this->digestInterval;
         this->SendDigest(aHost);
       }
       this->Tick(aHost);
@@ -271,33 +277,36 @@
 
   void SendDigest(const HostPtr& aHost)
   {
-    const PeerStatus digest{ aHost->Ref(), {}, false, aHost->map, {} };
-    const std::int64_t number = aHost->times.RecordSend(this->now);
-    const std::int64_t heard = aHost->heard[aHost->map.assigner.host.value];
+    const PeerStatus digest{ aHost->Ref(), {}, false, aHost->mapVersion, {} };
+    const std::int64_t number = aHost->digestSendTimes.RecordSend(this->now);
+    const std::int64_t lastDigestNumber =
+      aHost->lastDigestNumbers[aHost->mapVersion.assigner.host.value];
     for (const auto& [name, peer] : this->hosts) {
       if (peer == aHost || this->cutFromPeers.contains(name) ||
           this->cutFromPeers.contains(aHost->name)) {
         continue;
       }
-      this->OnHost(peer, kWay,
-                   [this, peer = peer, view = digest, number, heard]() mutable {
-                     view.lastHeardAt = this->now;
-                     view.mapConfirmedAt = peer->times.SentAt(heard);
-                     peer->heard[view.host.host.value] = number;
-                     peer->peers[view.host.host.value] = view;
-                     if (view.mapVersion.IsNewerThan(peer->map)) {
-                       peer->map = view.mapVersion;
-                     }
-                   });
+      this->RunOnHost(
+        peer, kLinkDelay,
+        [this, peer = peer, view = digest, number, lastDigestNumber]() mutable {
+          view.lastHeardAt = this->now;
+          view.mapConfirmedAt = peer->digestSendTimes.SentAt(lastDigestNumber);
+          peer->lastDigestNumbers[view.host.host.value] = number;
+          peer->peers[view.host.host.value] = view;
+          if (view.mapVersion.IsNewerThan(peer->mapVersion)) {
+            peer->mapVersion = view.mapVersion;
+          }
+        });
     }
   }
 
   bool ReachesStore(const Host& aHost) const
   {
-    return !this->storeDown && !this->turnedAway.contains(aHost.name);
+    return !this->storeUnavailable &&
+           !this->rejectedByStore.contains(aHost.name);
   }
 
-  bool Chance(int aPercent)
+  bool Happens(int aPercent)
   {
     return std::uniform_int_distribution<int>(1, 100)(this->random) <= aPercent;
   }
@@ -314,18 +323,19 @@
                                Assigner::WriteDone aDone) {
       this->Write(weak.lock(), aWrite, std::move(aDone));
     };
-    hooks.sendCommand = [this, weak](const LeaseCommand& aOrder,
+    hooks.sendCommand = [this, weak](const LeaseCommand& aCommand,
                                      Assigner::CommandDone aDone) {
-      this->Carry(weak.lock(), aOrder, std::move(aDone));
+      this->DeliverCommand(weak.lock(), aCommand, std::move(aDone));
     };
     hooks.candidates = [this] {
-      std::vector<OwnerCandidate> owners;
-      for (const auto& [name, one] : this->upstreams) {
-        if (one.alive) {
-          owners.push_back({ one.holder, name, one.mayOwn, false, 1 });
+      std::vector<OwnerCandidate> candidates;
+      for (const auto& [name, upstream] : this->upstreams) {
+        if (upstream.alive) {
+          candidates.push_back(
+            { upstream.holder, name, upstream.mayOwn, false, 1 });
         }
       }
-      return owners;
+      return candidates;
     };
     hooks.peers = [weak] {
       std::vector<PeerStatus> views;
@@ -336,8 +346,8 @@
     };
     hooks.publish = [weak] {
       const HostPtr host = weak.lock();
-      if (host->assigner->CurrentMapVersion().IsNewerThan(host->map)) {
-        host->map = host->assigner->CurrentMapVersion();
+      if (host->assigner->CurrentMapVersion().IsNewerThan(host->mapVersion)) {
+        host->mapVersion = host->assigner->CurrentMapVersion();
       }
     };
     hooks.log = [this, weak](std::string_view aWhat, std::string_view aDetail) {
@@ -350,45 +360,47 @@
 
   void Read(const HostPtr& aHost, Assigner::ReadDone aDone)
   {
-    this->At(kWay, [this, aHost, done = std::move(aDone)] {
+    this->Schedule(kLinkDelay, [this, aHost, done = std::move(aDone)] {
       if (!this->ReachesStore(*aHost)) {
-        this->OnHost(aHost, kStoreTimeout, [done] {
+        this->RunOnHost(aHost, kStoreTimeout, [done] {
           done(std::make_error_code(std::errc::timed_out));
         });
         return;
       }
-      this->OnHost(aHost, kWay, [done, read = this->stored] { done(read); });
+      this->RunOnHost(aHost, kLinkDelay,
+                      [done, read = this->stored] { done(read); });
     });
   }
 
   void Write(const HostPtr& aHost, const AssignmentWrite& aWrite,
              Assigner::WriteDone aDone)
   {
-    this->At(kWay, [this, aHost, write = aWrite, done = std::move(aDone)] {
-      if (!this->ReachesStore(*aHost)) {
-        this->OnHost(aHost, kStoreTimeout,
-                     [done] { done(state::WriteOutcome::kUnknown, 0); });
-        return;
-      }
-      if (this->Chance(this->lostAnswers)) {
-        // Carried out now or seconds later, if it still may be.
-        this->At(milliseconds(this->Chance(50) ? 0 : 3000),
-                 [this, write] { this->Perform(write); });
-        this->OnHost(aHost, kStoreTimeout,
-                     [done] { done(state::WriteOutcome::kUnknown, 0); });
-        return;
-      }
-      const state::Version version = this->Perform(write);
-      this->OnHost(aHost, kWay, [done, version] {
-        done(version == 0 ? state::WriteOutcome::kConflict
-                          : state::WriteOutcome::kWritten,
-             version);
+    this->Schedule(
+      kLinkDelay, [this, aHost, write = aWrite, done = std::move(aDone)] {
+        if (!this->ReachesStore(*aHost)) {
+          this->RunOnHost(aHost, kStoreTimeout,
+                          [done] { done(state::WriteOutcome::kUnknown, 0); });
+          return;
+        }
+        if (this->Happens(this->lostResponsePercent)) {
+          // Executed now or seconds later, if the conditions still hold then.
+          this->Schedule(milliseconds(this->Happens(50) ? 0 : 3000),
+                         [this, write] { this->ApplyWrite(write); });
+          this->RunOnHost(aHost, kStoreTimeout,
+                          [done] { done(state::WriteOutcome::kUnknown, 0); });
+          return;
+        }
+        const state::Version version = this->ApplyWrite(write);
+        this->RunOnHost(aHost, kLinkDelay, [done, version] {
+          done(version == 0 ? state::WriteOutcome::kConflict
+                            : state::WriteOutcome::kWritten,
+               version);
+        });
       });
-    });
   }
 
-  // 0 where a condition does not hold.
-  state::Version Perform(const AssignmentWrite& aWrite)
+  // Returns the new version, or 0 if a condition of the write does not hold.
+  state::Version ApplyWrite(const AssignmentWrite& aWrite)
   {
     if (aWrite.expected.claimVersion != this->stored.claimVersion ||
         aWrite.expected.assignmentVersion != this->stored.assignmentVersion) {
@@ -404,94 +416,99 @@
     return version;
   }
 
-  void Carry(const HostPtr& aHost, const LeaseCommand& aOrder,
-             Assigner::CommandDone aDone)
-  {
-    this->At(kWay, [this, aHost, order = aOrder, done = std::move(aDone)] {
-      FakeUpstream& upstream = this->upstreams.at(order.upstream.value);
-      const auto noAnswer = [this, aHost, done] {
-        this->OnHost(aHost, kOrderTimeout, [done] {
-          done({ LeaseCommandResult::kNoAnswer, {} });
-        });
-      };
-      if (!upstream.alive || upstream.silent) {
-        noAnswer();
-        return;
-      }
-      const TimePoint arrived = this->now;
-      if (upstream.late.count() > 0 && order.kind == LeaseCommandKind::kGrant) {
-        this->At(upstream.late, [this, order, arrived,
-                                 born = upstream.holder.startedMs] {
-          FakeUpstream& same = this->upstreams.at(order.upstream.value);
-          if (same.alive && same.holder.startedMs == born) {
-            Apply(same, order, arrived);
-          }
+  void DeliverCommand(const HostPtr& aHost, const LeaseCommand& aCommand,
+                      Assigner::CommandDone aDone)
+  {
+    this->Schedule(
+      kLinkDelay, [this, aHost, command = aCommand, done = std::move(aDone)] {
+        FakeUpstream& upstream = this->upstreams.at(command.upstream.value);
+        const auto timeOut = [this, aHost, done] {
+          this->RunOnHost(aHost, kCommandTimeout, [done] {
+            done({ LeaseCommandResult::kNoAnswer, {} });
+          });
+        };
+        if (!upstream.alive || upstream.unresponsive) {
+          timeOut();
+          return;
+        }
+        const TimePoint arrived = this->now;
+        if (upstream.grantDelay.count() > 0 &&
+            command.kind == LeaseCommandKind::kGrant) {
+          this->Schedule(
+            upstream.grantDelay,
+            [this, command, arrived, startedMs = upstream.holder.startedMs] {
+              FakeUpstream& target = this->upstreams.at(command.upstream.value);
+              if (target.alive && target.holder.startedMs == startedMs) {
+                ApplyCommand(target, command, arrived);
+              }
+            });
+          timeOut();
+          return;
+        }
+        const LeaseCommandResult result =
+          ApplyCommand(upstream, command, arrived);
+        this->RunOnHost(aHost, kLinkDelay, [done, result] {
+          done({ result, result == LeaseCommandResult::kDone ? "work" : "" });
         });
-        noAnswer();
-        return;
-      }
-      const LeaseCommandResult result = Apply(upstream, order, arrived);
-      this->OnHost(aHost, kWay, [done, result] {
-        done({ result, result == LeaseCommandResult::kDone ? "work" : "" });
       });
-    });
   }
 
-  static bool Overlaps(const FakeUpstream::Held& aHeld,
-                       const LeaseCommand& aOrder)
+  static bool Overlaps(const FakeUpstream::Lease& aLease,
+                       const LeaseCommand& aCommand)
   {
-    return aHeld.first <= aOrder.last && aOrder.first <= aHeld.last;
+    return aLease.first <= aCommand.last && aCommand.first <= aLease.last;
   }
 
-  static LeaseCommandResult Apply(FakeUpstream& aUpstream,
-                                  const LeaseCommand& aOrder,
-                                  TimePoint aArrived)
+  static LeaseCommandResult ApplyCommand(FakeUpstream& aUpstream,
+                                         const LeaseCommand& aCommand,
+                                         TimePoint aArrived)
   {
-    if (aOrder.kind == LeaseCommandKind::kRelease) {
+    if (aCommand.kind == LeaseCommandKind::kRelease) {
       ++aUpstream.releases;
-      aUpstream.seen.push_back(
-        { aOrder.first, aOrder.last, aOrder.fencingToken, aArrived });
-      Cut(aUpstream.holds, aOrder);
+      aUpstream.seenTokens.push_back(
+        { aCommand.first, aCommand.last, aCommand.fencingToken, aArrived });
+      RemoveRange(aUpstream.leases, aCommand);
       return LeaseCommandResult::kDone;
     }
-    const bool fenced =
-      std::ranges::any_of(aUpstream.seen, [&](const FakeUpstream::Held& aSeen) {
-        return Overlaps(aSeen, aOrder) && aSeen.fence > aOrder.fencingToken;
+    const bool fenced = std::ranges::any_of(
+      aUpstream.seenTokens, [&](const FakeUpstream::Lease& aLease) {
+        return Overlaps(aLease, aCommand) &&
+               aLease.fencingToken > aCommand.fencingToken;
       });
     if (fenced) {
       return LeaseCommandResult::kFenced;
     }
-    Cut(aUpstream.holds, aOrder);
-    Cut(aUpstream.seen, aOrder);
-    // Its clock runs 2% slow.
-    const auto until = aArrived + std::chrono::duration_cast<Duration>(
-                                    aOrder.leaseDuration * 1.02);
-    const FakeUpstream::Held held{ aOrder.first, aOrder.last,
-                                   aOrder.fencingToken, until };
-    aUpstream.holds.push_back(held);
-    aUpstream.seen.push_back(held);
+    RemoveRange(aUpstream.leases, aCommand);
+    RemoveRange(aUpstream.seenTokens, aCommand);
+    // The upstream's clock runs 2% slow.
+    const auto expiresAt = aArrived + std::chrono::duration_cast<Duration>(
+                                        aCommand.leaseDuration * 1.02);
+    const FakeUpstream::Lease lease{ aCommand.first, aCommand.last,
+                                     aCommand.fencingToken, expiresAt };
+    aUpstream.leases.push_back(lease);
+    aUpstream.seenTokens.push_back(lease);
     return LeaseCommandResult::kDone;
   }
 
-  static void Cut(std::vector<FakeUpstream::Held>& aHolds,
-                  const LeaseCommand& aOrder)
+  static void RemoveRange(std::vector<FakeUpstream::Lease>& aLeases,
+                          const LeaseCommand& aCommand)
   {
-    std::vector<FakeUpstream::Held> left;
-    for (const FakeUpstream::Held& held : aHolds) {
-      if (!Overlaps(held, aOrder)) {
-        left.push_back(held);
+    std::vector<FakeUpstream::Lease> left;
+    for (const FakeUpstream::Lease& lease : aLeases) {
+      if (!Overlaps(lease, aCommand)) {
+        left.push_back(lease);
         continue;
       }
-      if (held.first < aOrder.first) {
-        left.push_back({ held.first, static_cast<Key>(aOrder.first - 1),
-                         held.fence, held.until });
+      if (lease.first < aCommand.first) {
+        left.push_back({ lease.first, static_cast<Key>(aCommand.first - 1),
+                         lease.fencingToken, lease.expiresAt });
       }
-      if (held.last > aOrder.last) {
-        left.push_back({ static_cast<Key>(aOrder.last + 1), held.last,
-                         held.fence, held.until });
+      if (lease.last > aCommand.last) {
+        left.push_back({ static_cast<Key>(aCommand.last + 1), lease.last,
+                         lease.fencingToken, lease.expiresAt });
       }
     }
-    aHolds = std::move(left);
+    aLeases = std::move(left);
   }
 
   std::int64_t Millis() const
@@ -501,29 +518,29 @@
       .count();
   }
 
-  void Check()
+  void CheckForTwoHolders()
   {
-    struct Owned
+    struct HeldRange
     {
       Key first;
       Key last;
       std::string name;
     };
-    std::vector<Owned> owned;
-    for (const auto& [name, one] : this->upstreams) {
-      for (const FakeUpstream::Held& held : one.holds) {
-        if (one.alive && held.until > this->now) {
-          owned.push_back({ held.first, held.last, name });
+    std::vector<HeldRange> leases;
+    for (const auto& [name, upstream] : this->upstreams) {
+      for (const FakeUpstream::Lease& lease : upstream.leases) {
+        if (upstream.alive && lease.expiresAt > this->now) {
+          leases.push_back({ lease.first, lease.last, name });
         }
       }
     }
-    std::ranges::sort(owned, {}, &Owned::first);
-    for (std::size_t i = 1; i < owned.size(); ++i) {
-      if (owned[i].first <= owned[i - 1].last &&
-          owned[i].name != owned[i - 1].name && this->violation.empty()) {
-        this->violation = std::to_string(owned[i].first) + " held by " +
-                          owned[i - 1].name + " and " + owned[i].name + " at " +
-                          std::to_string(this->Millis());
+    std::ranges::sort(leases, {}, &HeldRange::first);
+    for (std::size_t i = 1; i < leases.size(); ++i) {
+      if (leases[i].first <= leases[i - 1].last &&
+          leases[i].name != leases[i - 1].name && this->violation.empty()) {
+        this->violation = std::to_string(leases[i].first) + " leased to " +
+                          leases[i - 1].name + " and " + leases[i].name +
+                          " at " + std::to_string(this->Millis());
       }
     }
   }
--- a/src/ownership/tests/balance_test.cpp
+++ b/src/ownership/tests/balance_test.cpp
@@ -1,5 +1,5 @@
-// Which keys move under the loads that the plan answers, and how assignments
-// are cut.
+// Tests which keys a balance plan moves, how assignments are split and stored,
+// and how key maps are updated.
 
 #include "ownership/balance.h"
 #include "ownership/keymap.h"
@@ -19,81 +19,83 @@
 {
   CPPUNIT_TEST_SUITE(BalanceTest);
   CPPUNIT_TEST(testHotKeysSpreadOut);
-  CPPUNIT_TEST(testChanceMovesLittle);
-  CPPUNIT_TEST(testNewcomerGetsKeys);
-  CPPUNIT_TEST(testColdOneGetsNone);
-  CPPUNIT_TEST(testGiveRemembersWhoMayStillHold);
-  CPPUNIT_TEST(testAssignmentSurvivesItsText);
-  CPPUNIT_TEST(testThousandRangesFitTheRow);
-  CPPUNIT_TEST(testChangesMakeTheSameMap);
-  CPPUNIT_TEST(testSuddenHotKeysOfManyUpstreams);
-  CPPUNIT_TEST(testOneHotKeyKeepsNobodyElse);
-  CPPUNIT_TEST(testMapNeverGoesBack);
+  CPPUNIT_TEST(testRandomVariationMovesFewKeys);
+  CPPUNIT_TEST(testNewHolderGetsKeys);
+  CPPUNIT_TEST(testColdHolderGetsNoKeys);
+  CPPUNIT_TEST(testReassignKeepsPreviousHolders);
+  CPPUNIT_TEST(testAssignmentSerializationRoundTrip);
+  CPPUNIT_TEST(testThousandRangesFitInRow);
+  CPPUNIT_TEST(testChangesProduceTheFullMap);
+  CPPUNIT_TEST(testSuddenHotKeysWithManyUpstreams);
+  CPPUNIT_TEST(testSingleHotKeyDoesNotBlockOtherMoves);
+  CPPUNIT_TEST(testMapIsNeverReplacedByOlder);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // A popular site fills: within a second a third of all lookups go to 200 keys
-  // that lie side by side, three times what one upstream runs. After a few
-  // plans no upstream has more than twice its share, and fewer than one key in
-  // twenty has moved.
+  // As a popular site fills up, within a second a third of all lookups are for
+  // 200 adjacent keys, three times what one upstream can run. After a few plans
+  // no upstream has more than twice its share of requests, and fewer than one
+  // key in twenty has moved.
   void testHotKeysSpreadOut()
   {
     std::mt19937 random(1);
-    Assignment assignment = AssignEvenly(Holders(14));
-    const std::vector<Key> requests = Requests(random, 0.35);
-    const double before = Busiest(assignment, requests);
+    Assignment assignment = AssignEvenly(MakeHolders(14));
+    const std::vector<Key> requests = MakeRequests(random, 0.35);
+    const double before = MaxLoadInShares(assignment, requests);
     std::size_t moved = 0;
     for (int i = 0; i < 12; ++i) {
       for (const BalanceMove& move :
-           PlanMoves(Question(assignment, requests))) {
+           PlanMoves(MakeInput(assignment, requests))) {
         Reassign(assignment, move.first, move.last, move.to);
         moved += static_cast<std::size_t>(move.last - move.first) + 1;
       }
     }
     CPPUNIT_ASSERT(before > 4);
-    CPPUNIT_ASSERT(Busiest(assignment, requests) < 2);
+    CPPUNIT_ASSERT(MaxLoadInShares(assignment, requests) < 2);
     CPPUNIT_ASSERT(moved < (std::size_t{ kLastKey } + 1) / 20);
   }
 
-  // Even traffic: what chance brings in a window must not keep keys moving.
-  void testChanceMovesLittle()
+  // With even traffic, the random variation of the requests in a window must
+  // not make keys move all the time.
+  void testRandomVariationMovesFewKeys()
   {
     std::mt19937 random(2);
-    const Assignment assignment = AssignEvenly(Holders(14));
+    const Assignment assignment = AssignEvenly(MakeHolders(14));
     std::size_t moves = 0;
     for (int i = 0; i < 50; ++i) {
-      moves += PlanMoves(Question(assignment, Requests(random, 0.0))).size();
+      moves +=
+        PlanMoves(MakeInput(assignment, MakeRequests(random, 0.0))).size();
     }
     CPPUNIT_ASSERT(moves < 100);
   }
 
-  void testNewcomerGetsKeys()
+  void testNewHolderGetsKeys()
   {
     std::mt19937 random(3);
-    const Assignment assignment = AssignEvenly(Holders(4));
-    BalanceInput question = Question(assignment, Requests(random, 0.0));
-    question.holders.push_back({ { { "new" }, 1 }, 1, true });
-    const auto moves = PlanMoves(question);
+    const Assignment assignment = AssignEvenly(MakeHolders(4));
+    BalanceInput input = MakeInput(assignment, MakeRequests(random, 0.0));
+    input.holders.push_back({ { { "new" }, 1 }, 1, true });
+    const auto moves = PlanMoves(input);
     CPPUNIT_ASSERT(std::ranges::any_of(moves, [](const BalanceMove& aMove) {
       return aMove.to.upstream.value == "new";
     }));
   }
 
-  void testColdOneGetsNone()
+  void testColdHolderGetsNoKeys()
   {
     std::mt19937 random(4);
-    const Assignment assignment = AssignEvenly(Holders(4));
-    BalanceInput question = Question(assignment, Requests(random, 0.4));
-    question.holders.push_back({ { { "cold" }, 1 }, 1, false });
+    const Assignment assignment = AssignEvenly(MakeHolders(4));
+    BalanceInput input = MakeInput(assignment, MakeRequests(random, 0.4));
+    input.holders.push_back({ { { "cold" }, 1 }, 1, false });
     CPPUNIT_ASSERT(
-      std::ranges::none_of(PlanMoves(question), [](const BalanceMove& aMove) {
+      std::ranges::none_of(PlanMoves(input), [](const BalanceMove& aMove) {
         return aMove.to.upstream.value == "cold";
       }));
   }
 
-  // Keys go from a to b, and before b has them on to c: both a and b may hold
-  // them, and c has to wait for both.
-  void testGiveRemembersWhoMayStillHold()
+  // Keys are reassigned from a to b, and on to c before b was granted them.
+  // Both a and b may hold a lease on them, so c has to wait for both.
+  void testReassignKeepsPreviousHolders()
   {
     Assignment assignment = AssignEvenly({ { { "a" }, 1 } });
     Reassign(assignment, 100, 199, { { "b" }, 1 });
@@ -109,9 +111,9 @@
     CPPUNIT_ASSERT(assignment.ranges[1].fencingToken < both.fencingToken);
   }
 
-  void testAssignmentSurvivesItsText()
+  void testAssignmentSerializationRoundTrip()
   {
-    Assignment assignment = AssignEvenly(Holders(3));
+    Assignment assignment = AssignEvenly(MakeHolders(3));
     Reassign(assignment, 7, 9, { { "u2" }, 1 });
     const auto again = ParseAssignment(SerializeAssignment(assignment));
     CPPUNIT_ASSERT(again.has_value());
@@ -125,8 +127,10 @@
     }
   }
 
-  // Maps overtake each other on their way.
-  void testMapNeverGoesBack()
+  // Maps can arrive in another order than they were published in. An older one
+  // must not replace a newer one. A key that its owner refused has no owner for
+  // a short time.
+  void testMapIsNeverReplacedByOlder()
   {
     KeyMap map;
     const TimePoint now{ std::chrono::hours(1) };
@@ -145,25 +149,26 @@
                          map.OwnerOf(3, later).upstream.value);
   }
 
-  // Four requests in ten are for one key, fifteen times what an upstream runs.
-  // It cannot be split. The other keys of its owner go elsewhere, where they
-  // are served, and the next busiest is relieved all the same: before, the plan
-  // ended at the first upstream that had nothing to give.
-  void testOneHotKeyKeepsNobodyElse()
+  // Four requests in ten are for a single key, fifteen times what an upstream
+  // can run, and a key cannot be split. The other keys of its owner must move
+  // to upstreams that can serve them, and keys must move away from the next
+  // busiest upstream as well. Before, the plan ended at the first upstream from
+  // which nothing could be moved.
+  void testSingleHotKeyDoesNotBlockOtherMoves()
   {
     constexpr Key kHot = 20'000;
     std::mt19937 random(7);
-    std::vector<Key> requests = Requests(random, 0, 600);
+    std::vector<Key> requests = MakeRequests(random, 0, 600);
     requests.insert(requests.end(), 400, kHot);
-    // Another upstream has keys that are busy and can be split.
+    // Another upstream has a busy range that can be split.
     for (int i = 0; i < 100; ++i) {
       requests.push_back(static_cast<Key>(50'000 + random() % 400));
     }
     std::ranges::sort(requests);
-    Assignment assignment = AssignEvenly(Holders(14));
+    Assignment assignment = AssignEvenly(MakeHolders(14));
     for (int plan = 0; plan < 8; ++plan) {
       for (const BalanceMove& move :
-           PlanMoves(Question(assignment, requests))) {
+           PlanMoves(MakeInput(assignment, requests))) {
         Reassign(assignment, move.first, move.last, move.to);
       }
     }
@@ -186,13 +191,14 @@
     }
   }
 
-  // 137 upstreams, keys cut into a thousand ranges, two in three still waiting
-  // for a former holder. Spelled out, the row passed the store's 64 KB, was
-  // refused, and no key could change hands any more.
-  void testThousandRangesFitTheRow()
+  // 137 upstreams own a thousand ranges, and two in three of these still wait
+  // for a previous holder. When all names were written out, the row exceeded
+  // the store's limit of 64 KB and was rejected, and no key could be reassigned
+  // any more.
+  void testThousandRangesFitInRow()
   {
     std::mt19937 random(4);
-    const std::vector<Holder> holders = Holders(137);
+    const std::vector<Holder> holders = MakeHolders(137);
     Assignment assignment = AssignEvenly(holders);
     while (assignment.ranges.size() < 1000) {
       const auto first = static_cast<Key>(random() % kLastKey);
@@ -207,9 +213,10 @@
     CPPUNIT_ASSERT_EQUAL(text, SerializeAssignment(*again));
   }
 
-  // A host is told changes only. Whatever moved, it ends with the map that one
-  // who is told everything has; changes on another base change nothing.
-  void testChangesMakeTheSameMap()
+  // A host receives only the changes of a map. Whichever keys moved, it must
+  // get the same map as a host that receives the full map. Changes to another
+  // map than the current one must have no effect.
+  void testChangesProduceTheFullMap()
   {
     std::mt19937 random(5);
     const auto randomMap = [&random] {
@@ -227,49 +234,53 @@
       return ranges;
     };
     const state::HostRef host{ { "h" }, 1 };
-    KeyMap told;
+    KeyMap updatedMap;
     std::vector<MapRange> before = randomMap();
-    told.ReplaceIfNewer({ 1, 0, host }, before, TimePoint{});
-    for (int step = 1; step <= 200; ++step) {
+    updatedMap.ReplaceIfNewer({ 1, 0, host }, before, TimePoint{});
+    for (int revision = 1; revision <= 200; ++revision) {
       const std::vector<MapRange> after = randomMap();
-      const MapVersion mark{ 1, step, host };
-      CPPUNIT_ASSERT(!told.ApplyChanges({ 1, step, host }, mark, {}, {}));
-      CPPUNIT_ASSERT(told.ApplyChanges({ 1, step - 1, host }, mark,
-                                       ChangedRanges(before, after), {}));
-      KeyMap whole;
-      whole.ReplaceIfNewer(mark, after, TimePoint{});
+      const MapVersion version{ 1, revision, host };
+      CPPUNIT_ASSERT(
+        !updatedMap.ApplyChanges({ 1, revision, host }, version, {}, {}));
+      CPPUNIT_ASSERT(updatedMap.ApplyChanges({ 1, revision - 1, host }, version,
+                                             ChangedRanges(before, after), {}));
+      KeyMap fullMap;
+      fullMap.ReplaceIfNewer(version, after, TimePoint{});
       for (int key = 0; key <= kLastKey; key += 13) {
         const auto at = static_cast<Key>(key);
-        CPPUNIT_ASSERT(told.OwnerOf(at, {}).upstream ==
-                       whole.OwnerOf(at, {}).upstream);
+        CPPUNIT_ASSERT(updatedMap.OwnerOf(at, {}).upstream ==
+                       fullMap.OwnerOf(at, {}).upstream);
       }
       before = after;
     }
   }
 
-  // 137 upstreams get 1,250 requests a second, and from one moment on a third
-  // of them is for 200 keys of one upstream. After three plans over the last
-  // 600 ms (750 requests) the busiest has 5.6 times its share; with four moves
-  // a plan it was 22 times (this test, one run each), and 48 before the first.
-  void testSuddenHotKeysOfManyUpstreams()
+  // 137 upstreams receive 1,250 requests a second, and suddenly a third of
+  // these are for 200 keys of one upstream. Before the first plan, the busiest
+  // upstream has 48 times its share. After three plans over the last 600 ms
+  // (750 requests) it has 5.6 times its share. With four moves in a plan it
+  // still had 22 times its share. Each figure is from one run of this test.
+  void testSuddenHotKeysWithManyUpstreams()
   {
-    constexpr double kSudden = 3;
+    constexpr double kHotKeyOverloadFactor = 3;
     std::mt19937 random(6);
-    Assignment assignment = AssignEvenly(Holders(137));
+    Assignment assignment = AssignEvenly(MakeHolders(137));
     for (int plan = 0; plan < 3; ++plan) {
-      BalanceInput question = Question(assignment, Requests(random, 0.35, 750));
-      question.overloadFactor = kSudden;
-      const auto moves = PlanMoves(question);
+      BalanceInput input =
+        MakeInput(assignment, MakeRequests(random, 0.35, 750));
+      input.overloadFactor = kHotKeyOverloadFactor;
+      const auto moves = PlanMoves(input);
       CPPUNIT_ASSERT(!moves.empty());
       for (const BalanceMove& move : moves) {
         Reassign(assignment, move.first, move.last, move.to);
       }
     }
-    CPPUNIT_ASSERT(Busiest(assignment, Requests(random, 0.35, 7500)) < 7);
+    CPPUNIT_ASSERT(
+      MaxLoadInShares(assignment, MakeRequests(random, 0.35, 7500)) < 7);
   }
 
 private:
-  static std::vector<Holder> Holders(int aCount)
+  static std::vector<Holder> MakeHolders(int aCount)
   {
     std::vector<Holder> holders;
     holders.reserve(static_cast<std::size_t>(aCount));
@@ -279,9 +290,10 @@
     return holders;
   }
 
-  // A share of them for 200 keys side by side.
-  static std::vector<Key> Requests(std::mt19937& aRandom, double aHotShare,
-                                   int aCount = 350)
+  // Returns the sorted keys of aCount requests. The part aHotShare of them is
+  // for 200 adjacent keys, and the others are spread over all keys.
+  static std::vector<Key> MakeRequests(std::mt19937& aRandom, double aHotShare,
+                                       int aCount = 350)
   {
     constexpr Key kHot = 20'000;
     std::vector<Key> keys;
@@ -295,25 +307,26 @@
     return keys;
   }
 
-  static BalanceInput Question(const Assignment& aAssignment,
-                               const std::vector<Key>& aRequests)
+  static BalanceInput MakeInput(const Assignment& aAssignment,
+                                const std::vector<Key>& aRequests)
   {
-    BalanceInput question;
-    question.ranges = aAssignment.ranges;
-    question.requests = aRequests;
+    BalanceInput input;
+    input.ranges = aAssignment.ranges;
+    input.requests = aRequests;
     std::map<std::string, Holder> holders;
     for (const AssignedRange& range : aAssignment.ranges) {
       holders[range.holder.upstream.value] = range.holder;
     }
     for (const auto& [name, holder] : holders) {
-      question.holders.push_back({ holder, 1, true });
+      input.holders.push_back({ holder, 1, true });
     }
-    return question;
+    return input;
   }
 
-  // Of the busiest upstream, in shares.
-  static double Busiest(const Assignment& aAssignment,
-                        const std::vector<Key>& aRequests)
+  // Returns the requests of the busiest upstream as a multiple of an even
+  // share.
+  static double MaxLoadInShares(const Assignment& aAssignment,
+                                const std::vector<Key>& aRequests)
   {
     std::map<std::string, double> loads;
     for (const AssignedRange& range : aAssignment.ranges) {
