--- a/src/framework/channel.h
+++ b/src/framework/channel.h
@@ -1,4 +1,4 @@
-// Tells its listeners of a change, within one thread.
+// A list of callbacks that are called for every change, within one thread.
 
 #pragma once
 
@@ -14,13 +14,15 @@
 public:
   using Listener = std::function<void(const Args&...)>;
 
-  // Listeners stay for the channel's life: the modules that listen are built
-  // after what they listen to and torn down before it.
+  // Adds a listener for the channel's lifetime. There is no removal: a module
+  // that listens is constructed after the module that it listens to and
+  // destroyed before it.
   void Listen(Listener aListener)
   {
     this->listeners.push_back(std::move(aListener));
   }
 
+  // Calls all listeners, in the order in which they were added.
   void Send(const Args&... aArgs) const
   {
     for (const Listener& listener : this->listeners) {
--- a/src/framework/events.h
+++ b/src/framework/events.h
@@ -1,6 +1,7 @@
-// What a process writes into its log: a closed list of numbered events. The
-// numbers are stable; operators' alerts name them. docs/EVENTS.md is the
-// catalogue, and a test holds it to the table.
+// The events that a process writes to its log: a closed list with numbers.
+// Operators' alerts refer to the numbers, so a number never changes its
+// meaning. docs/EVENTS.md lists them, and a test checks that it matches the
+// table here.
 
 #pragma once
 
@@ -95,22 +96,27 @@
   kError,
 };
 
+// A row of the event table.
 struct EventEntry
 {
   Event event;
+  // Stable, as the number is; written to the log.
   std::string_view name;
   EventLevel level;
+  // A sentence for the reader of the log.
   std::string_view text;
 };
 
-// The whole table, by rising number.
+// The full table, sorted by event number.
 std::span<const EventEntry> EventEntries();
 
+// The row of an event; every event has one.
 const EventEntry& FindEventEntry(Event aEvent);
 
 std::string_view EventLevelName(EventLevel aLevel);
 
-// What one occurrence of an event adds: who, which, how many.
+// A name and a value that one occurrence of an event adds to its log line, such
+// as a host, an upstream or a count.
 struct EventField
 {
   std::string_view name;
@@ -119,38 +125,42 @@
 
 using EventFields = std::initializer_list<EventField>;
 
-// How modules write; empty in tests that do not look at the log.
+// The hook through which modules write events. It may be empty, as in tests
+// that do not check the log.
 using EventHook = std::function<void(Event, EventFields)>;
 
 // Writes events through spdlog on a thread of its own, as text or as one JSON
-// object a line. Safe from any thread. Never blocks: a log that nobody reads
-// (a full pipe) would otherwise hold a duty's thread until its lease is lost.
-// The oldest waiting lines are dropped instead, and counted.
+// object per line. Thread-safe. Write never blocks: if nobody reads the log (a
+// full pipe), a blocked duty thread could not renew its lease in time. When the
+// queue is full, the oldest waiting lines are dropped and counted instead.
 class EventLog
 {
 public:
   struct Options
   {
-    // "trace", "debug", "info", "warn", "error".
+    // The lowest level that is written: "trace", "debug", "info", "warn" or
+    // "error".
     std::string level = "info";
     bool json = false;
-    // Stands in each JSON line; may be empty.
+    // The host's name, written in each JSON line unless it is empty.
     std::string host;
-    // Standard output rather than standard error, where there is no stream.
+    // Without a stream: writes to standard output instead of standard error.
     bool toStandardOutput = false;
-    // Outlives the log.
+    // Must outlive the log; nullptr for standard output or standard error.
     std::ostream* stream = nullptr;
+    // Maximum number of lines that wait to be written.
     std::size_t queue = 8192;
   };
 
   explicit EventLog(Options aOptions);
-  // Writes what waits.
+  // Blocks until all waiting lines are written.
   ~EventLog();
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
   void Write(Event aEvent, EventFields aFields = {});
 
+  // Number of lines dropped since the start because the queue was full.
   std::uint64_t DroppedLines() const;
 
 private:
--- a/src/framework/id.h
+++ b/src/framework/id.h
@@ -1,5 +1,5 @@
-// Names of hosts, upstreams and the like as types of their own, so that one is
-// not taken for another.
+// A strongly typed name. Hosts, upstreams and the like have a type each, so
+// that the compiler rejects the name of one where that of another is expected.
 
 #pragma once
 
--- a/src/framework/internal/durationtext.cpp
+++ b/src/framework/internal/durationtext.cpp
@@ -1,4 +1,4 @@
-// Reading and printing of durations.
+// Parses and formats durations.
 
 #include "framework/durationtext.h"
 
@@ -11,16 +11,17 @@
 {
   double number = 0;
   const char* end = aText.data() + aText.size();
-  const auto [rest, error] = std::from_chars(aText.data(), end, number);
+  const auto [numberEnd, error] = std::from_chars(aText.data(), end, number);
   if (error != std::errc() || !std::isfinite(number) || number < 0) {
     return std::nullopt;
   }
-  constexpr double kMostMs = 1e12;
-  const std::string_view unit(rest, static_cast<std::size_t>(end - rest));
+  constexpr double kMaxMs = 1e12;
+  const std::string_view unit(numberEnd,
+                              static_cast<std::size_t>(end - numberEnd));
   const double ms = unit == "ms"  ? number
                     : unit == "s" ? number * 1000.0
-                                  : kMostMs;
-  if (ms >= kMostMs) {
+                                  : kMaxMs;
+  if (ms >= kMaxMs) {
     return std::nullopt;
   }
   return std::chrono::milliseconds(std::llround(ms));
--- a/src/framework/internal/events.cpp
+++ b/src/framework/internal/events.cpp
@@ -1,4 +1,4 @@
-// The table of events, and the log that writes them.
+// The table of events, and the log that they are written to.
 
 #include "framework/events.h"
 
@@ -24,126 +24,136 @@
 
 constexpr std::array kEntries = {
   EventEntry{ Event::kStarted, "started", kInfo, "the process has started" },
-  EventEntry{ Event::kReady, "ready", kInfo, "callers may be sent here" },
+  EventEntry{ Event::kReady, "ready", kInfo,
+              "this host is ready for callers' requests" },
   EventEntry{ Event::kNotReady, "not-ready", kWarn,
-              "callers should not be sent here" },
+              "this host is not ready for callers' requests" },
   EventEntry{ Event::kStopping, "stopping", kInfo, "a planned stop has begun" },
-  EventEntry{ Event::kStopped, "stopped", kInfo, "the process ends" },
+  EventEntry{ Event::kStopped, "stopped", kInfo, "the process exits" },
   EventEntry{ Event::kSettingsInvalid, "settings-invalid", kError,
-              "the settings have a fault" },
+              "the settings are invalid" },
   EventEntry{ Event::kListenFailed, "listen-failed", kError,
-              "an address cannot be listened at" },
+              "listening on an address failed" },
   EventEntry{ Event::kInternalError, "internal-error", kError,
-              "a fault in the program" },
+              "an internal error in the program" },
   EventEntry{ Event::kSettingsReloaded, "settings-reloaded", kInfo,
-              "the settings were read again" },
+              "the settings were reloaded" },
 
   EventEntry{ Event::kLeaseHeld, "lease-held", kInfo,
               "this host holds its lease" },
   EventEntry{ Event::kLeaseLost, "lease-lost", kWarn,
-              "this host's lease has lapsed; it starts no work" },
+              "this host's lease has expired; it starts no new work" },
   EventEntry{ Event::kGuardsChanged, "guards-changed", kInfo,
-              "this host has other guards" },
+              "the guards that confirm this host's lease have changed" },
   EventEntry{ Event::kHostSuspected, "host-suspected", kWarn,
-              "a host does not answer and is being released" },
+              "a host does not respond; its guards are asked to release it" },
   EventEntry{ Event::kHostReleased, "host-released", kInfo,
-              "this guard confirms a host no longer" },
+              "this guard no longer confirms a host's lease" },
   EventEntry{ Event::kHostDeposed, "host-deposed", kWarn,
               "a host was deposed; its upstreams get other stewards" },
   EventEntry{ Event::kDeposed, "deposed", kError,
-              "this host was deposed by another" },
+              "this host was deposed by another host" },
 
   EventEntry{ Event::kStewardshipTaken, "stewardship-taken", kInfo,
-              "this host is an upstream's steward" },
-  EventEntry{ Event::kStewardshipLost, "stewardship-lost", kWarn,
-              "another host is the steward of an upstream of this one" },
+              "this host is now the steward of an upstream" },
+  EventEntry{
+    Event::kStewardshipLost, "stewardship-lost", kWarn,
+    "another host is now the steward of an upstream that this host had" },
   EventEntry{ Event::kStewardshipHandedOver, "stewardship-handed-over", kInfo,
-              "an upstream was handed to another steward" },
+              "an upstream was handed over to another steward" },
   EventEntry{ Event::kUpstreamCold, "upstream-cold", kWarn,
-              "an upstream is in cold start and gets little work" },
+              "an upstream is cold and gets few requests (slow start)" },
   EventEntry{ Event::kUpstreamWarm, "upstream-warm", kInfo,
-              "an upstream bears all its slots" },
+              "an upstream is warm; all its slots may be used" },
   EventEntry{ Event::kUpstreamDraining, "upstream-draining", kInfo,
-              "an upstream is leaving and gets no new work" },
+              "an upstream is draining and gets no new requests" },
   EventEntry{ Event::kUpstreamUnreachable, "upstream-unreachable", kWarn,
-              "an upstream cannot be connected to" },
+              "connecting to an upstream failed" },
   EventEntry{ Event::kUpstreamGone, "upstream-gone", kInfo,
-              "an upstream is no longer in the platform's list" },
+              "an upstream was removed from the platform's list" },
   EventEntry{ Event::kUpstreamFenced, "upstream-fenced", kWarn,
-              "an upstream refused this steward's epoch" },
+              "an upstream rejected this steward's epoch" },
   EventEntry{ Event::kUpstreamUnchecked, "upstream-unchecked", kWarn,
-              "an upstream does not check who gives it orders" },
+              "an upstream does not check the fencing tokens of its commands" },
   EventEntry{ Event::kUpstreamEjected, "upstream-ejected", kWarn,
-              "a straggling upstream gets only probes" },
+              "a slow upstream was ejected and gets only probe requests" },
   EventEntry{ Event::kUpstreamReadmitted, "upstream-readmitted", kInfo,
-              "an upstream answers in time again" },
+              "an ejected upstream responds in time again and was readmitted" },
   EventEntry{ Event::kUpstreamSeen, "upstream-seen", kInfo,
-              "an upstream's entry is new or has changed" },
+              "an upstream's entry was added or changed" },
 
   EventEntry{ Event::kSliceMoved, "slice-moved", kInfo,
-              "a slice has another owner" },
+              "the owner of a slice has changed" },
   EventEntry{ Event::kGrantLapsed, "grant-lapsed", kWarn,
               "a grant could not be renewed in time" },
-  EventEntry{ Event::kCollectionStarted, "collection-started", kInfo,
-              "the keys that a deposed host may have run are being collected" },
+  EventEntry{
+    Event::kCollectionStarted, "collection-started", kInfo,
+    "collecting the keys that a deposed host may have run has started" },
   EventEntry{ Event::kCollectionComplete, "collection-complete", kInfo,
-              "all that a deposed host may have run is known" },
+              "all keys that a deposed host may have run are known" },
   EventEntry{ Event::kCollectionUnsure, "collection-unsure", kWarn,
-              "a host is silent; older keys get an unknown outcome" },
+              "a host does not respond; the outcome of older keys is unknown" },
   EventEntry{ Event::kKeys, "keys", kInfo,
-              "an assigner changed, or keys of a service did" },
+              "the assigner of a service or its key assignment has changed" },
 
   EventEntry{ Event::kConfigurationInForce, "configuration-in-force", kInfo,
-              "a configuration came into force on this host" },
+              "a configuration became active on this host" },
   EventEntry{ Event::kConfigurationNotLowered, "configuration-not-lowered",
-              kDebug, "a lower version was offered and is not applied" },
-  EventEntry{ Event::kConfigurationConflict, "configuration-conflict", kInfo,
-              "a change expected another version than the one in force" },
+              kDebug,
+              "a lower configuration version was offered and not applied" },
+  EventEntry{
+    Event::kConfigurationConflict, "configuration-conflict", kInfo,
+    "a change expected a configuration version that is not the active one" },
   EventEntry{ Event::kConfigurationInvalid, "configuration-invalid", kError,
-              "an accepted configuration cannot be read here" },
+              "this host cannot read an accepted configuration" },
   EventEntry{ Event::kPlaceOut, "place-out", kInfo,
               "a data centre or host was taken out of service" },
   EventEntry{ Event::kPlaceIn, "place-in", kInfo,
               "a data centre or host was brought back into service" },
   EventEntry{ Event::kOperatorRefused, "operator-refused", kWarn,
-              "a request on the operators' listener had no right token" },
+              "a request to the operators' listener had no valid token" },
 
   EventEntry{ Event::kStoreDown, "store-down", kWarn,
-              "the platform's store does not answer" },
+              "the platform's store does not respond" },
   EventEntry{ Event::kStoreBack, "store-back", kInfo,
-              "the platform's store answers again" },
-  EventEntry{ Event::kWriteUnknown, "write-unknown", kWarn,
-              "a write's answer was lost and it could not be read back" },
+              "the platform's store responds again" },
+  EventEntry{
+    Event::kWriteUnknown, "write-unknown", kWarn,
+    "the response to a write was lost, and the rows could not be read back" },
   EventEntry{ Event::kPeerUp, "peer-up", kInfo, "connected to another host" },
   EventEntry{ Event::kPeerDown, "peer-down", kWarn,
-              "the connection to another host broke" },
+              "the connection to another host was lost" },
   EventEntry{ Event::kPeerRefused, "peer-refused", kWarn,
-              "a peer that is not in the host records was turned away" },
-  EventEntry{ Event::kRingFull, "ring-full", kWarn,
-              "a ring between two threads was full; work was refused" },
+              "a peer without a valid host record was rejected" },
+  EventEntry{
+    Event::kRingFull, "ring-full", kWarn,
+    "the ring (bounded queue) between two threads was full; work was refused" },
   EventEntry{ Event::kTableFromPeer, "table-from-peer", kInfo,
-              "a peer knew more of a table and passed its copy on" },
+              "a peer sent its replica of a table" },
   EventEntry{ Event::kTableRead, "table-read", kInfo,
-              "a whole read of a table at the store ended" },
-  EventEntry{ Event::kTableCaughtUp, "table-caught-up", kInfo,
-              "a change of a table is known that peers had named" },
-  EventEntry{ Event::kStoreCall, "store-call", kDebug, "the store is called" },
-
-  EventEntry{ Event::kAnswerCrossed, "answer-crossed", kError,
-              "an upstream sent another request's answer; it was dropped" },
+              "a full read of a table at the store has ended" },
+  EventEntry{
+    Event::kTableCaughtUp, "table-caught-up", kInfo,
+    "this host has received a table change that peers had announced" },
+  EventEntry{ Event::kStoreCall, "store-call", kDebug,
+              "a call to the store was started" },
+
+  EventEntry{
+    Event::kAnswerCrossed, "answer-crossed", kError,
+    "an upstream sent the response to another request; it was dropped" },
   EventEntry{ Event::kAnswerTruncated, "answer-truncated", kWarn,
-              "an upstream's answer ended before its length" },
+              "an upstream's response ended before its full length" },
 
   EventEntry{ Event::kRequestAnswered, "request-answered", kInfo,
-              "a request ended with an upstream's answer" },
+              "a request ended with an upstream's response" },
   EventEntry{ Event::kRequestRefused, "request-refused", kWarn,
               "a request was refused and has not run" },
   EventEntry{ Event::kRequestGivenUp, "request-given-up", kWarn,
-              "a request ended without an answer; it may have run" },
+              "a request ended without a response; it may have run" },
 };
 
 static_assert(std::ranges::is_sorted(kEntries, {}, &EventEntry::event),
-              "the table is searched by number");
+              "kEntries must be sorted by event number for the binary search");
 
 spdlog::level::level_enum SpdlogLevel(EventLevel aLevel)
 {
@@ -160,8 +170,9 @@
   return spdlog::level::err;
 }
 
-// Bytes that are no UTF-8 must not throw in the middle of a log line.
-std::string Dump(const nlohmann::ordered_json& aValue)
+// Replaces bytes that are not valid UTF-8; by default dump() would throw on
+// them while a log line is written.
+std::string ToJsonText(const nlohmann::ordered_json& aValue)
 {
   return aValue.dump(-1, ' ', false,
                      nlohmann::ordered_json::error_handler_t::replace);
@@ -174,14 +185,15 @@
     aField.value);
 }
 
-// Strings are quoted, so that a value with a line's end forges no line.
+// String values are quoted and escaped, so that a value with a line break
+// cannot forge a log line.
 std::string TextLine(const EventEntry& aEntry, EventFields aFields)
 {
   std::string line =
     fmt::format("{} {} {}: {}", EventLevelName(aEntry.level),
                 static_cast<int>(aEntry.event), aEntry.name, aEntry.text);
   for (const EventField& field : aFields) {
-    line += fmt::format(" {}={}", field.name, Dump(FieldValue(field)));
+    line += fmt::format(" {}={}", field.name, ToJsonText(FieldValue(field)));
   }
   return line;
 }
@@ -202,8 +214,8 @@
   for (const EventField& field : aFields) {
     line["fields"][std::string(field.name)] = FieldValue(field);
   }
-  // The pattern has the opening brace and the time.
-  return Dump(line).substr(1);
+  // kJsonPattern writes the opening brace, before the time.
+  return ToJsonText(line).substr(1);
 }
 
 constexpr const char* kTextPattern = "%Y-%m-%dT%H:%M:%S.%eZ %v";
@@ -278,12 +290,13 @@
     this->logger->log(level, spdlog::string_view_t(line));
   }
 
-  std::uint64_t Dropped() const { return this->pool->overrun_counter(); }
+  std::uint64_t DroppedLines() const { return this->pool->overrun_counter(); }
 
 private:
   Options options;
-  // The logger refers to its pool weakly; the pool ends last and writes what
-  // waits.
+  // The logger only has a weak reference to the pool. The pool is declared
+  // before it and so destroyed after it; its destructor writes the waiting
+  // lines.
   std::shared_ptr<spdlog::details::thread_pool> pool;
   std::shared_ptr<spdlog::async_logger> logger;
 };
@@ -302,7 +315,7 @@
 
 std::uint64_t EventLog::DroppedLines() const
 {
-  return this->state->Dropped();
+  return this->state->DroppedLines();
 }
 
 } // namespace kumquat
--- a/src/framework/internal/metrics.cpp
+++ b/src/framework/internal/metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics: quantiles by Boost.Accumulators, and the text exposition.
+// Metrics: quantiles with Boost.Accumulators, and the exposition text.
 
 #include "framework/metrics.h"
 
@@ -20,23 +20,23 @@
 
 namespace acc = boost::accumulators;
 
-using Quantiles =
+using QuantileEstimator =
   acc::accumulator_set<double, acc::stats<acc::tag::extended_p_square>>;
 
-constexpr std::size_t kFirstValues = 32;
+constexpr std::size_t kMaxExactValues = 32;
 
 std::string Escape(std::string_view aText)
 {
   std::string escaped;
-  for (const char letter : aText) {
-    if (letter == '\n') {
+  for (const char character : aText) {
+    if (character == '\n') {
       escaped += "\\n";
       continue;
     }
-    if (letter == '\\' || letter == '"') {
+    if (character == '\\' || character == '"') {
       escaped += '\\';
     }
-    escaped += letter;
+    escaped += character;
   }
   return escaped;
 }
@@ -51,18 +51,18 @@
   return text;
 }
 
-std::string Braced(const std::string& aLabels)
+std::string InBraces(const std::string& aLabels)
 {
   return aLabels.empty() ? std::string() : "{" + aLabels + "}";
 }
 
-std::string Number(double aValue)
+std::string FormatNumber(double aValue)
 {
   return std::isnan(aValue) ? std::string("NaN") : fmt::format("{}", aValue);
 }
 
-void AppendHead(std::string& aText, const std::string& aName,
-                const std::string& aHelp, std::string_view aType)
+void AppendHelpAndType(std::string& aText, const std::string& aName,
+                       const std::string& aHelp, std::string_view aType)
 {
   fmt::format_to(std::back_inserter(aText), "# HELP {} {}\n# TYPE {} {}\n",
                  aName, aHelp, aName, aType);
@@ -73,10 +73,10 @@
                   std::string_view aType)
 {
   for (const auto& [name, family] : aFamilies) {
-    AppendHead(aText, name, family.help, aType);
+    AppendHelpAndType(aText, name, family.help, aType);
     for (const auto& [labels, metric] : family.metrics) {
       fmt::format_to(std::back_inserter(aText), "{}{} {}\n", name,
-                     Braced(labels), metric->Value());
+                     InBraces(labels), metric->Value());
     }
   }
 }
@@ -88,16 +88,17 @@
   for (const double probability : Summary::Probabilities()) {
     fmt::format_to(std::back_inserter(aText), "{}{{{}{}quantile=\"{}\"}} {}\n",
                    aName, aLabels, comma, probability,
-                   Number(aSummary.Quantile(probability)));
+                   FormatNumber(aSummary.Quantile(probability)));
   }
   fmt::format_to(std::back_inserter(aText), "{}_sum{} {}\n{}_count{} {}\n",
-                 aName, Braced(aLabels), Number(aSummary.Sum().count()), aName,
-                 Braced(aLabels), aSummary.Count());
+                 aName, InBraces(aLabels), FormatNumber(aSummary.Sum().count()),
+                 aName, InBraces(aLabels), aSummary.Count());
 }
 
-template<typename Families, typename Make>
-auto& Find(Families& aFamilies, const std::string& aName,
-           std::string_view aHelp, const Labels& aLabels, const Make& aMake)
+template<typename Families, typename Create>
+auto& GetOrCreate(Families& aFamilies, const std::string& aName,
+                  std::string_view aHelp, const Labels& aLabels,
+                  const Create& aCreate)
 {
   auto& family = aFamilies[aName];
   if (family.help.empty()) {
@@ -105,26 +106,27 @@
   }
   auto& metric = family.metrics[LabelsText(aLabels)];
   if (!metric) {
-    metric = aMake();
+    metric = aCreate();
   }
   return *metric;
 }
 
 } // namespace
 
-// The P-square algorithm knows nothing before it has seen as many values as it
-// has markers; the first values are kept so that a quiet service has
-// quantiles too.
+// The values of one window. The P-square algorithm estimates quantiles only
+// once it has seen as many values as it has markers. The first kMaxExactValues
+// values are therefore kept, and their quantiles are exact, so that a service
+// with few requests has quantiles too.
 class Summary::Window
 {
 public:
   void Add(double aValue)
   {
-    if (this->first.size() < kFirstValues) {
-      this->first.push_back(aValue);
+    if (this->exactValues.size() < kMaxExactValues) {
+      this->exactValues.push_back(aValue);
     }
     ++this->count;
-    this->quantiles(aValue);
+    this->estimator(aValue);
   }
 
   double Quantile(double aProbability) const
@@ -132,18 +134,19 @@
     if (this->count == 0) {
       return std::numeric_limits<double>::quiet_NaN();
     }
-    if (this->count > kFirstValues) {
-      const auto& known = Summary::Probabilities();
-      const auto found = std::ranges::find(known, aProbability);
-      return acc::extended_p_square(this->quantiles)[found - known.begin()];
+    if (this->count > kMaxExactValues) {
+      const auto& probabilities = Summary::Probabilities();
+      const auto found = std::ranges::find(probabilities, aProbability);
+      return acc::extended_p_square(
+        this->estimator)[found - probabilities.begin()];
     }
-    return this->QuantileOfFirst(aProbability);
+    return this->ExactQuantile(aProbability);
   }
 
 private:
-  double QuantileOfFirst(double aProbability) const
+  double ExactQuantile(double aProbability) const
   {
-    std::vector<double> sorted = this->first;
+    std::vector<double> sorted = this->exactValues;
     std::ranges::sort(sorted);
     const double rank =
       std::ceil(aProbability * static_cast<double>(sorted.size()));
@@ -151,17 +154,17 @@
     return sorted[std::min(index, sorted.size() - 1)];
   }
 
-  std::vector<double> first;
+  std::vector<double> exactValues;
   std::uint64_t count = 0;
-  Quantiles quantiles{ acc::extended_p_square_probabilities =
-                         Summary::Probabilities() };
+  QuantileEstimator estimator{ acc::extended_p_square_probabilities =
+                                 Summary::Probabilities() };
 };
 
 Summary::Summary(Clock aClock)
   : clock(std::move(aClock))
   , older(std::make_unique<Window>())
   , newer(std::make_unique<Window>())
-  , rotated(this->clock())
+  , lastRotation(this->clock())
 {
 }
 
@@ -171,7 +174,7 @@
 {
   const std::chrono::duration<double> seconds = aValue;
   const std::scoped_lock lock(this->mutex);
-  this->Rotate();
+  this->RotateWindows();
   this->older->Add(seconds.count());
   this->newer->Add(seconds.count());
   ++this->count;
@@ -193,7 +196,7 @@
 double Summary::Quantile(double aProbability) const
 {
   const std::scoped_lock lock(this->mutex);
-  this->Rotate();
+  this->RotateWindows();
   return this->older->Quantile(aProbability);
 }
 
@@ -203,16 +206,16 @@
   return kProbabilities;
 }
 
-void Summary::Rotate() const
+void Summary::RotateWindows() const
 {
-  const Duration passed = this->clock() - this->rotated;
+  const Duration passed = this->clock() - this->lastRotation;
   if (passed < kWindow) {
     return;
   }
   this->older =
     passed < 2 * kWindow ? std::move(this->newer) : std::make_unique<Window>();
   this->newer = std::make_unique<Window>();
-  this->rotated = this->clock();
+  this->lastRotation = this->clock();
 }
 
 Metrics::Metrics(Clock aClock)
@@ -227,16 +230,16 @@
                                      const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
-  return Find(this->counters, aName, aHelp, aLabels,
-              [] { return std::make_unique<Counter>(); });
+  return GetOrCreate(this->counters, aName, aHelp, aLabels,
+                     [] { return std::make_unique<Counter>(); });
 }
 
 Gauge& Metrics::GetOrCreateGauge(const std::string& aName,
                                  std::string_view aHelp, const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
-  return Find(this->gauges, aName, aHelp, aLabels,
-              [] { return std::make_unique<Gauge>(); });
+  return GetOrCreate(this->gauges, aName, aHelp, aLabels,
+                     [] { return std::make_unique<Gauge>(); });
 }
 
 Summary& Metrics::GetOrCreateSummary(const std::string& aName,
@@ -244,8 +247,8 @@
                                      const Labels& aLabels)
 {
   const std::scoped_lock lock(this->mutex);
-  return Find(this->summaries, aName, aHelp, aLabels,
-              [this] { return std::make_unique<Summary>(this->clock); });
+  return GetOrCreate(this->summaries, aName, aHelp, aLabels,
+                     [this] { return std::make_unique<Summary>(this->clock); });
 }
 
 std::string Metrics::Text() const
@@ -255,7 +258,7 @@
   AppendValues(text, this->counters, "counter");
   AppendValues(text, this->gauges, "gauge");
   for (const auto& [name, family] : this->summaries) {
-    AppendHead(text, name, family.help, "summary");
+    AppendHelpAndType(text, name, family.help, "summary");
     for (const auto& [labels, summary] : family.metrics) {
       AppendSummary(text, name, labels, *summary);
     }
--- a/src/framework/metrics.h
+++ b/src/framework/metrics.h
@@ -1,10 +1,10 @@
 // Counters, gauges and quantiles of one process, and their text in the
 // Prometheus exposition format.
 //
-// Threads: a metric is looked up once, under a lock, and kept by reference for
-// the registry's life. Counters and gauges are atomics that any thread may
-// change; a summary has a lock of its own, which its duty's thread finds free
-// but while the text is made.
+// Thread safety: a metric is looked up once, under the registry's lock; the
+// reference stays valid for the registry's lifetime. Counters and gauges are
+// atomics that any thread may change. A summary has its own lock, for which the
+// observing thread waits only while the exposition text is being made.
 
 #pragma once
 
@@ -25,13 +25,14 @@
 struct Label
 {
   std::string name;
-  // From a closed list or from the configuration; never what a caller sent,
-  // or callers could grow the registry without bound.
+  // From a closed list or the configuration. It must never come from a caller's
+  // request, as callers could then make the registry grow without bound.
   std::string value;
 };
 
 using Labels = std::vector<Label>;
 
+// A number that only rises. Thread-safe.
 class Counter
 {
 public:
@@ -49,6 +50,7 @@
   std::atomic<std::uint64_t> count{ 0 };
 };
 
+// A number that rises and falls. Thread-safe.
 class Gauge
 {
 public:
@@ -71,8 +73,8 @@
   std::atomic<std::int64_t> value{ 0 };
 };
 
-// Durations: their count and sum since the start, and the quantiles of the
-// last one to two minutes.
+// Observed durations: their count and sum since the start, and the quantiles
+// of the last one to two minutes (one to two windows). Thread-safe.
 class Summary
 {
 public:
@@ -87,28 +89,31 @@
 
   std::uint64_t Count() const;
   std::chrono::duration<double> Sum() const;
-  // Not a number where nothing was observed lately. aProbability is one of
-  // Probabilities().
+  // In seconds; NaN if nothing was observed in the last one to two windows.
+  // aProbability must be one of Probabilities().
   double Quantile(double aProbability) const;
 
+  // The probabilities whose quantiles are kept.
   static const std::vector<double>& Probabilities();
 
 private:
   class Window;
 
-  void Rotate() const;
+  void RotateWindows() const;
 
   Clock clock;
   mutable std::mutex mutex;
-  // Every value goes into both; they are emptied in turn, so that the older
-  // one always holds between one and two windows' values.
+  // Every value is added to both. Once per window the older one is replaced by
+  // the newer one and the newer one by an empty one, so that the older one
+  // holds the values of the last one to two windows.
   mutable std::unique_ptr<Window> older;
   mutable std::unique_ptr<Window> newer;
-  mutable TimePoint rotated;
+  mutable TimePoint lastRotation;
   std::uint64_t count = 0;
   std::chrono::duration<double> sum{ 0 };
 };
 
+// The registry of all metrics of a process. Thread-safe.
 class Metrics
 {
 public:
@@ -117,9 +122,10 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  // The metric of this name and these labels; made where there is none. Names
-  // follow Prometheus' conventions ("kumquat_requests_total"); a name keeps
-  // the kind and the help that it was first given.
+  // Return the metric with this name and these labels, and create it if there
+  // is none. Names follow Prometheus' conventions ("kumquat_requests_total").
+  // One name must always be used with the same kind of metric; its help text is
+  // the first one that is not empty.
   Counter& GetOrCreateCounter(const std::string& aName, std::string_view aHelp,
                               const Labels& aLabels = {});
   Gauge& GetOrCreateGauge(const std::string& aName, std::string_view aHelp,
@@ -127,18 +133,20 @@
   Summary& GetOrCreateSummary(const std::string& aName, std::string_view aHelp,
                               const Labels& aLabels = {});
 
-  // The whole registry in Prometheus' text format, version 0.0.4.
+  // All metrics in Prometheus' text format, version 0.0.4.
   std::string Text() const;
 
 private:
+  // All metrics of one name.
   template<typename Metric>
   struct Family
   {
     std::string help;
-    // By the labels as they stand in the text.
+    // Keyed by the labels as they appear in the exposition text.
     std::map<std::string, std::unique_ptr<Metric>> metrics;
   };
 
+  // Keyed by the metrics' name.
   template<typename Metric>
   using Families = std::map<std::string, Family<Metric>>;
 
--- a/src/framework/rendezvous.h
+++ b/src/framework/rendezvous.h
@@ -1,5 +1,5 @@
-// Rendezvous hashing: hosts that know the same members give every subject the
-// same ranking without a word between them.
+// Rendezvous hashing: hosts that know the same members rank them alike for
+// every subject, without exchanging messages.
 
 #pragma once
 
@@ -11,7 +11,8 @@
 
 namespace kumquat {
 
-// The member with the highest score of a subject is its first choice.
+// The score of a member for a subject. The member with the highest score is the
+// subject's first choice.
 inline std::uint64_t RendezvousScore(std::string_view aMember,
                                      std::string_view aSubject)
 {
--- a/src/framework/result.h
+++ b/src/framework/result.h
@@ -1,4 +1,5 @@
-// A value or the error that stands in its place.
+// The value that a function returns, or the error because of which there is
+// none.
 
 #pragma once
 
--- a/src/framework/ring.h
+++ b/src/framework/ring.h
@@ -1,5 +1,7 @@
-// A bounded queue between two duties' threads. A full ring refuses: the
-// producer counts the refusal and answers it, nothing waits and nothing grows.
+// Ring: a bounded lock-free queue between the threads of two duties (components
+// with a thread of their own). When it is full, Push fails at once: the
+// producer counts the refusal and responds to it. Nothing blocks, and memory is
+// bounded.
 
 #pragma once
 
@@ -17,8 +19,9 @@
 class Ring
 {
 public:
-  // aWake is called from the producer's thread when the consumer has to be
-  // told that Drain is due; it must be safe to call from any thread.
+  // aWake must cause the consumer's thread to call Drain. It is called on a
+  // producer's thread, or on the consumer's when Drain leaves items in the
+  // ring, so it must be thread-safe.
   Ring(std::size_t aCapacity, std::function<void()> aWake)
     : queue(aCapacity)
     , wake(std::move(aWake))
@@ -33,7 +36,8 @@
     this->queue.consume_all([](T* aItem) { delete aItem; });
   }
 
-  // False where the ring is full; the item is then left with the caller.
+  // Returns false if the ring is full; aItem then still holds the item.
+  // Otherwise the item is moved out of it. Safe from any thread.
   [[nodiscard]] bool Push(T& aItem)
   {
     auto owned = std::make_unique<T>(std::move(aItem));
@@ -42,27 +46,30 @@
       return false;
     }
     static_cast<void>(owned.release());
-    // A consumer that is already told drains this item too: it lowers the
-    // flag before it starts to drain.
-    if (!this->told.exchange(true)) {
+    // No second wake-up while one is pending: Drain clears the flag before it
+    // starts, so the pending call drains this item too.
+    if (!this->wakePending.exchange(true)) {
       this->wake();
     }
     return true;
   }
 
-  // Consumer's thread only. Takes at most aMost items, so that one ring does
-  // not starve the consumer's other work; a rest wakes the consumer again.
-  void Drain(const std::function<void(T&&)>& aConsume, std::size_t aMost = 256)
+  // Passes the queued items to aConsume, on the consumer's thread only. It
+  // takes at most aMaxItems, so that one ring does not starve the consumer's
+  // other work; after that many it wakes the consumer again for the remaining
+  // ones.
+  void Drain(const std::function<void(T&&)>& aConsume,
+             std::size_t aMaxItems = 256)
   {
-    this->told.store(false);
+    this->wakePending.store(false);
     T* item = nullptr;
     std::size_t taken = 0;
-    while (taken < aMost && this->queue.pop(item)) {
+    while (taken < aMaxItems && this->queue.pop(item)) {
       const std::unique_ptr<T> owned(item);
       aConsume(std::move(*owned));
       ++taken;
     }
-    if (taken == aMost && !this->told.exchange(true)) {
+    if (taken == aMaxItems && !this->wakePending.exchange(true)) {
       this->wake();
     }
   }
@@ -70,7 +77,7 @@
 private:
   boost::lockfree::queue<T*, boost::lockfree::fixed_sized<true>> queue;
   std::function<void()> wake;
-  std::atomic<bool> told{ false };
+  std::atomic<bool> wakePending{ false };
 };
 
 } // namespace kumquat
--- a/src/framework/tests/events_test.cpp
+++ b/src/framework/tests/events_test.cpp
@@ -1,4 +1,5 @@
-// The log's lines, and the catalogue in the docs.
+// Tests of the format of log lines, and of docs/EVENTS.md against the event
+// table.
 
 #include "framework/events.h"
 
@@ -15,16 +16,17 @@
 class EventsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(EventsTest);
-  CPPUNIT_TEST(testCatalogueIsTheTable);
-  CPPUNIT_TEST(testTextLine);
-  CPPUNIT_TEST(testJsonLine);
-  CPPUNIT_TEST(testLevelHidesLowerOnes);
+  CPPUNIT_TEST(testDocumentedEventsMatchTable);
+  CPPUNIT_TEST(testTextLineEscapesLineBreaks);
+  CPPUNIT_TEST(testJsonLineWithInvalidUtf8);
+  CPPUNIT_TEST(testEventsBelowLevelAreNotWritten);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // An operator looks an event's number up and finds nothing, or an older
-  // meaning: the page was not changed with the code.
-  void testCatalogueIsTheTable()
+  // Guards against a docs/EVENTS.md that was not changed together with the
+  // code: an operator would look up an event's number and find no row, or an
+  // outdated meaning.
+  void testDocumentedEventsMatchTable()
   {
     std::ostringstream expected;
     for (const EventEntry& entry : EventEntries()) {
@@ -35,27 +37,30 @@
     const std::ifstream file(KUMQUAT_DOCS "/EVENTS.md");
     std::ostringstream page;
     page << file.rdbuf();
-    CPPUNIT_ASSERT_MESSAGE("the page must have these rows:\n" + expected.str(),
-                           page.str().find(expected.str()) !=
-                             std::string::npos);
+    CPPUNIT_ASSERT_MESSAGE(
+      "docs/EVENTS.md must contain these rows:\n" + expected.str(),
+      page.str().find(expected.str()) != std::string::npos);
   }
 
-  // A caller's header with a line's end in it must not write a log line of
-  // its own.
-  void testTextLine()
+  // Guards against forged log lines: a field value, such as a caller's header,
+  // may contain a line break.
+  void testTextLineEscapesLineBreaks()
   {
-    const std::string line = Written({ .level = "info" }, Event::kHostDeposed,
-                                     { { "host", "a\n2026" }, { "epoch", 7 } });
+    const std::string line =
+      LogOutput({ .level = "info" }, Event::kHostDeposed,
+                { { "host", "a\n2026" }, { "epoch", 7 } });
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{ 1 }, std::ranges::count(line, '\n'));
     CPPUNIT_ASSERT(line.find("warn 2006 host-deposed: ") != std::string::npos);
     CPPUNIT_ASSERT(line.find("host=\"a\\n2026\" epoch=7") != std::string::npos);
   }
 
-  void testJsonLine()
+  // Guards against an exception in the log: a field value may contain bytes
+  // that are not valid UTF-8, and the line must still be valid JSON.
+  void testJsonLineWithInvalidUtf8()
   {
     const std::string text =
-      Written({ .json = true, .host = "caerdydd-1" }, Event::kPeerDown,
-              { { "peer", "\xff" }, { "count", 3 } });
+      LogOutput({ .json = true, .host = "caerdydd-1" }, Event::kPeerDown,
+                { { "peer", "\xff" }, { "count", 3 } });
     const auto line = nlohmann::json::parse(text);
     CPPUNIT_ASSERT_EQUAL(6005, line["event"].get<int>());
     CPPUNIT_ASSERT_EQUAL(3, line["fields"]["count"].get<int>());
@@ -63,16 +68,17 @@
     CPPUNIT_ASSERT(line["time"].get<std::string>().ends_with("Z"));
   }
 
-  void testLevelHidesLowerOnes()
+  void testEventsBelowLevelAreNotWritten()
   {
-    CPPUNIT_ASSERT(Written({ .level = "error" }, Event::kPeerDown, {}).empty());
     CPPUNIT_ASSERT(
-      !Written({ .level = "error" }, Event::kInternalError, {}).empty());
+      LogOutput({ .level = "error" }, Event::kPeerDown, {}).empty());
+    CPPUNIT_ASSERT(
+      !LogOutput({ .level = "error" }, Event::kInternalError, {}).empty());
   }
 
 private:
-  static std::string Written(EventLog::Options aOptions, Event aEvent,
-                             EventFields aFields)
+  static std::string LogOutput(EventLog::Options aOptions, Event aEvent,
+                               EventFields aFields)
   {
     std::ostringstream stream;
     aOptions.stream = &stream;
--- a/src/framework/tests/main.cpp
+++ b/src/framework/tests/main.cpp
@@ -1,4 +1,5 @@
-// Runs every registered CppUnit suite, or those whose path is given.
+// Runs all registered CppUnit suites, or only the suite or test whose path is
+// the first argument.
 
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
--- a/src/framework/tests/metrics_test.cpp
+++ b/src/framework/tests/metrics_test.cpp
@@ -1,4 +1,4 @@
-// Counters, quantiles and their text.
+// Tests of counters, gauges, quantiles and the exposition text.
 
 #include "framework/metrics.h"
 #include "protocol/errorcounters.h"
@@ -13,14 +13,14 @@
 class MetricsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(MetricsTest);
-  CPPUNIT_TEST(testText);
-  CPPUNIT_TEST(testQuantilesOfFewAndMany);
-  CPPUNIT_TEST(testOldValuesLeaveTheQuantiles);
-  CPPUNIT_TEST(testEveryErrorKindHasItsCounter);
+  CPPUNIT_TEST(testExpositionText);
+  CPPUNIT_TEST(testQuantilesOfFewAndManyValues);
+  CPPUNIT_TEST(testQuantilesForgetValuesOutsideTheWindows);
+  CPPUNIT_TEST(testEveryErrorKindHasACounterFromTheStart);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testText()
+  void testExpositionText()
   {
     Metrics metrics(this->clock);
     metrics.GetOrCreateCounter("kumquat_x_total", "Xs.", { { "kind", "a\"b" } })
@@ -48,7 +48,8 @@
     CPPUNIT_ASSERT_EQUAL(expected, metrics.Text());
   }
 
-  void testQuantilesOfFewAndMany()
+  // Up to 32 values the quantiles are exact; with more they are estimated.
+  void testQuantilesOfFewAndManyValues()
   {
     Summary summary(this->clock);
     CPPUNIT_ASSERT(std::isnan(summary.Quantile(0.5)));
@@ -57,7 +58,8 @@
     }
     CPPUNIT_ASSERT_EQUAL(5.0, summary.Quantile(0.5));
     CPPUNIT_ASSERT_EQUAL(10.0, summary.Quantile(0.99));
-    // 7919 is prime to 10,000: each value once, in no order.
+    // 7919 and 10,000 have no common divisor, so each value from 0 to 9,999 ms
+    // is observed once, in a scattered order.
     for (int i = 0; i < 10'000; ++i) {
       summary.Observe(std::chrono::milliseconds(i * 7919 % 10'000));
     }
@@ -65,9 +67,9 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(9.9, summary.Quantile(0.99), 0.1);
   }
 
-  // A slow hour must not hide in the quantiles of a fast week: what operators
-  // look at is the last minutes.
-  void testOldValuesLeaveTheQuantiles()
+  // Operators look at the last minutes. Quantiles over all values since the
+  // start would hide a slow hour after a fast week.
+  void testQuantilesForgetValuesOutsideTheWindows()
   {
     Summary summary(this->clock);
     summary.Observe(std::chrono::seconds(1));
@@ -81,7 +83,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{ 2 }, summary.Count());
   }
 
-  void testEveryErrorKindHasItsCounter()
+  // Every error kind has its counter from the start, at 0, so that the first
+  // refusal shows as a rise.
+  void testEveryErrorKindHasACounterFromTheStart()
   {
     Metrics metrics(this->clock);
     protocol::ErrorCounters refusals(metrics, "kumquat_refusals_total",
--- a/src/framework/tests/ring_test.cpp
+++ b/src/framework/tests/ring_test.cpp
@@ -1,4 +1,4 @@
-// The bounded ring between threads.
+// Tests of the bounded queue between threads.
 
 #include "framework/ring.h"
 
@@ -11,14 +11,15 @@
 class RingTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RingTest);
-  CPPUNIT_TEST(testFullRingRefusesAndKeepsTheItem);
-  CPPUNIT_TEST(testRestAfterDrainWakesAgain);
+  CPPUNIT_TEST(testPushToFullRingFailsAndKeepsItem);
+  CPPUNIT_TEST(testDrainWakesConsumerForRemainingItems);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // A burst fills a ring: the producer must learn of it and still hold the
-  // item, or the caller's request would vanish without an answer.
-  void testFullRingRefusesAndKeepsTheItem()
+  // Guards against lost requests: when a burst fills the ring, the producer
+  // must be told and must still have the item, or the caller would get no
+  // response.
+  void testPushToFullRingFailsAndKeepsItem()
   {
     Ring<std::string> ring(1, [] {});
     std::string first = "first";
@@ -28,9 +29,10 @@
     CPPUNIT_ASSERT_EQUAL(std::string("second"), second);
   }
 
-  // A consumer that stops at its share must be woken for the rest, or the
-  // last requests of a burst would wait for the next one.
-  void testRestAfterDrainWakesAgain()
+  // Guards against stuck items: a Drain that stops at its limit must wake the
+  // consumer again, or the last requests of a burst would wait for the next
+  // one.
+  void testDrainWakesConsumerForRemainingItems()
   {
     int woken = 0;
     Ring<int> ring(8, [&woken] { ++woken; });
