--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -1,4 +1,5 @@
-// Frames between hosts: Thrift's compact protocol behind a 4-byte length.
+// Encodes and decodes the frames between hosts: a 4-byte length, followed by a
+// Frame in Thrift's compact protocol.
 
 #pragma once
 
@@ -12,16 +13,20 @@
 
 namespace kumquat::protocol {
 
+// Size of the length that precedes a frame.
 constexpr std::size_t kLengthBytes = 4;
-// A longer frame is a fault or not a peer of ours; the connection is closed.
+// A longer frame means a fault, or that the other side is no kumquatscale host;
+// the connection is closed.
 constexpr std::uint32_t kMaxFrameBytes = 8U << 20U;
 
-// The length and the body, ready to be written.
+// Returns the length and the frame, ready to be written to a connection.
 std::string EncodeFrame(const Frame& aFrame);
 
-// aBody is what followed the length; kMalformedRequest where it is no Frame.
+// aBody is what follows the length. Returns kMalformedRequest if it is not a
+// valid Frame.
 Result<Frame> DecodeFrame(std::string_view aBody);
 
+// Reads the big-endian length from the first kLengthBytes bytes of aLength.
 std::uint32_t DecodeLength(std::string_view aLength);
 
 } // namespace kumquat::protocol
--- a/src/protocol/errorcounters.h
+++ b/src/protocol/errorcounters.h
@@ -1,5 +1,5 @@
-// One counter for each error kind: refusals answered to callers, or reasons
-// why a request was tried again.
+// One counter per error kind, for the refusals that callers got or for the
+// reasons of retries.
 
 #pragma once
 
@@ -12,12 +12,13 @@
 
 namespace kumquat::protocol {
 
-// All kinds are there from the start, at 0, so that a first refusal shows as a
-// rise. Safe from any thread.
+// Creates the counters of all kinds at 0, so that the first refusal of a kind
+// shows as a rise. Thread-safe.
 class ErrorCounters
 {
 public:
-  // aLabel names the kind's label, as "kind" or "reason".
+  // aName, aHelp: of the metric. aLabel: the name of the label that holds the
+  // error kind, such as "kind" or "reason".
   ErrorCounters(Metrics& aMetrics, const std::string& aName,
                 std::string_view aHelp, const std::string& aLabel);
 
@@ -25,7 +26,7 @@
   std::uint64_t Value(ErrorKind aKind) const;
 
 private:
-  // In the order of ErrorKind.
+  // Indexed by ErrorKind.
   std::vector<Counter*> counters;
 };
 
--- a/src/protocol/errorkind.h
+++ b/src/protocol/errorkind.h
@@ -1,5 +1,6 @@
-// The closed list of the ways in which a request can fail, and the table from
-// each to its answer. Every refusal, retry and counter is named by a kind.
+// The closed list of the ways in which a request can fail, and a table with the
+// HTTP status, outcome and retry rules of each. Refusals, retries and counters
+// are named by these kinds.
 
 #pragma once
 
@@ -52,7 +53,7 @@
   kInternal,
 };
 
-// What the caller may conclude of its request.
+// Whether the caller's request was run by an upstream.
 enum class Outcome
 {
   kNotRun,
@@ -60,31 +61,36 @@
   kRan,
 };
 
+// The HTTP response and the retry rules for an error kind.
 struct ErrorInfo
 {
   ErrorKind kind;
-  // Stable; used in counters, logs and the Kumquat-Error header.
+  // Stable: it is used in counters, logs and the Kumquat-Error header.
   std::string_view name;
   int httpStatus;
-  // kNotRun only where no byte of the request can have reached an upstream,
-  // or where the upstream itself said that it did not run.
+  // kNotRun only if no byte of the request can have reached an upstream, or if
+  // the upstream itself reported that it did not run the request.
   Outcome outcome;
-  // Whether another try inside the system may succeed.
+  // Whether a retry within the system may succeed.
   bool retryable;
-  // Seconds for Retry-After; none where coming back would not help.
+  // Value of the Retry-After header; nullopt if a later request would fail too.
   std::optional<std::chrono::seconds> retryAfter;
 };
 
-// The whole table, in the order of the enumeration.
+// The full table, indexed by ErrorKind.
 std::span<const ErrorInfo> ErrorTable();
 
+// The table's row for an error kind.
 const ErrorInfo& ErrorInfoFor(ErrorKind aKind);
 
-// kInternal for a number that is not in the list (a newer peer's kind).
+// Returns kInternal for a number that is not in the list, such as a kind that
+// only a newer peer has.
 ErrorKind ErrorKindFromNumber(int aNumber);
 
+// The outcome's name in HTTP headers: "not-run", "unknown" or "ran".
 std::string_view OutcomeName(Outcome aOutcome);
 
+// The category of the error codes that are made from error kinds.
 const std::error_category& ErrorKindCategory();
 
 std::error_code make_error_code(ErrorKind aKind);
--- a/src/protocol/internal/codec.cpp
+++ b/src/protocol/internal/codec.cpp
@@ -1,4 +1,5 @@
-// Thrift's memory buffer and compact protocol, used as a plain codec.
+// Encodes and decodes frames with Thrift's memory buffer and compact protocol,
+// without a Thrift transport.
 
 #include "protocol/codec.h"
 
@@ -33,7 +34,8 @@
 
 Result<Frame> DecodeFrame(std::string_view aBody)
 {
-  // The buffer only observes; Thrift's interface wants a mutable pointer.
+  // The buffer only reads the data, but Thrift's interface takes a mutable
+  // pointer.
   auto* data = reinterpret_cast<std::uint8_t*>(const_cast<char*>(aBody.data()));
   auto buffer = std::make_shared<TMemoryBuffer>(
     data, static_cast<std::uint32_t>(aBody.size()));
--- a/src/protocol/internal/errorcounters.cpp
+++ b/src/protocol/internal/errorcounters.cpp
@@ -1,4 +1,4 @@
-// Counters by error kind.
+// One counter per error kind.
 
 #include "protocol/errorcounters.h"
 
@@ -13,8 +13,8 @@
 {
   std::ranges::transform(
     ErrorTable(), std::back_inserter(this->counters),
-    [&](const ErrorInfo& aAnswer) {
-      const Labels labels = { { aLabel, std::string(aAnswer.name) } };
+    [&](const ErrorInfo& aInfo) {
+      const Labels labels = { { aLabel, std::string(aInfo.name) } };
       return &aMetrics.GetOrCreateCounter(aName, aHelp, labels);
     });
 }
--- a/src/protocol/internal/errorkind.cpp
+++ b/src/protocol/internal/errorkind.cpp
@@ -1,4 +1,4 @@
-// The table from error kind to answer.
+// The table of error kinds.
 
 #include "protocol/errorkind.h"
 
@@ -17,7 +17,7 @@
 constexpr auto kUnknown = Outcome::kUnknown;
 constexpr auto kRan = Outcome::kRan;
 
-constexpr std::array kAnswers = {
+constexpr std::array kErrors = {
   ErrorInfo{ ErrorKind::kNone, "none", 200, kRan, false, {} },
   ErrorInfo{ ErrorKind::kMalformedRequest,
              "malformed-request",
@@ -111,21 +111,22 @@
   ErrorInfo{ ErrorKind::kInternal, "internal", 500, kUnknown, false, {} },
 };
 
-constexpr bool InOrder()
+constexpr bool IsInOrder()
 {
-  for (std::size_t i = 0; i < kAnswers.size(); ++i) {
-    if (static_cast<std::size_t>(kAnswers[i].kind) != i) {
+  for (std::size_t i = 0; i < kErrors.size(); ++i) {
+    if (static_cast<std::size_t>(kErrors[i].kind) != i) {
       return false;
     }
   }
   return true;
 }
 
-static_assert(InOrder(), "the table follows the order of ErrorKind");
-static_assert(kAnswers.size() ==
+static_assert(IsInOrder(),
+              "kErrors must have one row per ErrorKind, in the same order");
+static_assert(kErrors.size() ==
               static_cast<std::size_t>(ErrorKind::kInternal) + 1);
 
-class Category : public std::error_category
+class ErrorCategory : public std::error_category
 {
 public:
   const char* name() const noexcept override { return "kumquat"; }
@@ -140,12 +141,12 @@
 
 std::span<const ErrorInfo> ErrorTable()
 {
-  return kAnswers;
+  return kErrors;
 }
 
 const ErrorInfo& ErrorInfoFor(ErrorKind aKind)
 {
-  return kAnswers.at(static_cast<std::size_t>(aKind));
+  return kErrors.at(static_cast<std::size_t>(aKind));
 }
 
 ErrorKind ErrorKindFromNumber(int aNumber)
@@ -171,7 +172,7 @@
 
 const std::error_category& ErrorKindCategory()
 {
-  static const Category kCategory;
+  static const ErrorCategory kCategory;
   return kCategory;
 }
 
--- a/src/protocol/peer.thrift
+++ b/src/protocol/peer.thrift
@@ -1,12 +1,13 @@
-// Messages between kumquatd processes. Each travels as one Frame, encoded with
-// Thrift's compact protocol, behind a 4-byte big-endian length.
+// Messages between kumquatd processes. Each is sent as one Frame: a 4-byte
+// big-endian length, followed by the Frame in Thrift's compact protocol.
 //
-// Times on the wire are durations in microseconds, never points in time: the
-// hosts' clocks are not compared with each other.
+// Times in messages are durations, in microseconds unless the field's name says
+// otherwise. They are never points in time, because the clocks of different
+// hosts are not compared with each other.
 
 namespace cpp kumquat.protocol
 
-// A host as one process run: a restart gives a new incarnation.
+// One run of a host's process. Each restart has a new incarnation.
 struct HostRef {
   1: string host
   2: i64 incarnation
@@ -17,13 +18,14 @@
   2: string value
 }
 
-// First frame in each direction on a new connection.
+// The first frame in each direction on a new connection.
 struct Hello {
   1: HostRef sender
   2: string dataCentre
 }
 
-// A lease holder asks a guard to confirm it (its heartbeat).
+// A heartbeat: a host asks a guard, one of the hosts that confirm its lease, to
+// confirm it again.
 struct ConfirmRequest {
   1: HostRef holder
   2: i64 guardIncarnation
@@ -33,7 +35,8 @@
   1: bool confirmed
 }
 
-// A host that wants to depose `holder` asks a guard to stop confirming it.
+// A host that wants to depose `holder` (end its lease) asks a guard to stop
+// confirming it.
 struct ReleaseRequest {
   1: HostRef holder
   2: i64 guardIncarnation
@@ -41,7 +44,7 @@
 
 struct ReleaseReply {
   1: bool released
-  // How long the guard's last confirmation may still be relied on.
+  // How long the guard's last confirmation may still be valid.
   2: i64 remainingMicros
 }
 
@@ -50,7 +53,8 @@
   2: string upstream
 }
 
-// One caller's request on its way to the steward of an upstream.
+// A caller's request, forwarded to the steward of an upstream: the host that
+// counts the upstream's slots and sends it requests.
 struct Forward {
   1: HostRef sender
   2: string serviceName
@@ -63,49 +67,53 @@
   9: binary body
   10: UpstreamRef upstream
   11: i32 hops
-  // Set where `sender` owns the idempotency key's slice.
+  // Set if `sender` owns the slice (range of key hashes) that the idempotency
+  // key is in.
   12: i64 ownerEpoch
-  // What the map of the sender says of the upstream: a stale one is refused.
+  // The epoch of the upstream's stewardship in the sender's map. The steward
+  // refuses the request if it is outdated.
   13: i64 stewardEpoch
 }
 
-// Free slots of one upstream, counted by its steward.
+// The number of free slots of an upstream, as counted by its steward.
 struct SlotDigest {
   1: UpstreamRef upstream
   2: i32 freeSlots
   3: i32 queued
   4: i64 stewardEpoch
-  // The steward gets nothing but failures from it.
+  // All requests that the steward sends to the upstream fail.
   5: bool lost
 }
 
 struct ForwardReply {
-  // An ErrorKind; 0 means the upstream answered.
+  // An ErrorKind; 0 means that the upstream responded.
   1: i32 error
   2: i32 status
   3: list<Header> headers
   4: binary body
   5: list<SlotDigest> digests
   6: i64 retryAfterMicros
-  // Set where this steward has no free slot and another may: try there once.
+  // Set if this steward has no free slot and this other upstream may have one.
+  // It is tried once.
   7: optional UpstreamRef redirect
-  // More of the body follows in BodyPart frames with the same correlation.
+  // The rest of the body follows in BodyPart frames with the same correlation.
   8: bool more
-  // Of the whole body, where it is known.
+  // Length of the full body in bytes, if known.
   9: optional i64 length
-  // Not the word of the idempotency key's owner: whether an earlier request
-  // with the key has run is not known to the sender.
+  // The reply does not come from the owner of the idempotency key: the sender
+  // does not know whether an earlier request with the key has run.
   10: bool keyUnknown
 }
 
 struct BodyPart {
   1: binary data
   2: bool last
-  // An ErrorKind: the body ends here, cut short.
+  // An ErrorKind: the body is truncated here. 0 if it is not.
   3: i32 error
 }
 
-// The receiver of a streamed body lets the sender go on by that much.
+// Flow control: the receiver of a streamed body allows the sender to send that
+// many more bytes.
 struct BodyCredit {
   1: i64 bytes
 }
@@ -118,7 +126,8 @@
   1: list<SlotDigest> digests
 }
 
-// Tells a witness of an idempotency key before the key's work is dispatched.
+// Reports an idempotency key to a witness (a host that records the keys of
+// another) before the key's request is dispatched.
 struct WitnessNote {
   1: HostRef owner
   2: string serviceName
@@ -130,33 +139,40 @@
   1: bool noted
 }
 
-// A successor asks what was forwarded to, told by or run for `predecessor`.
-// Answering is also a fence: from then on nothing of it is accepted.
+// The new owner of a slice asks a host for the keys of all requests that were
+// forwarded to `predecessor`, reported by it or run for it. The host that
+// replies also fences the predecessor: it accepts nothing more from it.
 struct CollectRequest {
-  // No host: the slice moved from a live host, and only older epochs are fenced.
+  // With an empty host, the slice moved from a host that is alive, and only
+  // older epochs are fenced.
   1: HostRef predecessor
   2: string serviceName
-  // The range of key hashes that the successor took, as unsigned numbers.
+  // The range of key hashes that the successor took over, to be read as
+  // unsigned numbers.
   3: i64 first
   4: i64 last
-  // The successor's; in the range, forwards of a lower one are refused from now.
+  // The successor's epoch. From now on, forwards in the range with a lower one
+  // are refused.
   5: i64 epoch
 }
 
 struct CollectReply {
   1: bool complete
-  // Not in use: keyHashes says the same in fewer bytes.
+  // Not used: keyHashes holds the same information in fewer bytes.
   2: list<string> idempotencyKeys
-  // The 64-bit hashes of the keys known in the range, whoever owned them.
+  // The 64-bit hashes of all known keys in the range, whichever host owned
+  // them.
   3: list<i64> keyHashes
-  // Who answers: a restarted host knows nothing of its earlier run's keys.
+  // The host that replies, with its incarnation: a restarted host has none of
+  // the keys that its earlier run knew.
   4: HostRef witness
-  // The witness owned the range until now and knew every key that might have
-  // run: what it names is all that the successor has to know.
+  // The witness owned the range until now and knows every key that may have
+  // run, so the successor needs no other host's reply.
   5: bool wasOwner
 }
 
-// Rows of the table that changed; the receiver keeps the highest versions.
+// A row of the table that changed. The receiver keeps the row with the highest
+// version.
 struct RowChange {
   1: string partition
   2: string name
@@ -174,15 +190,17 @@
   2: string text
 }
 
-// Says what the sender has in force, and asks for anything higher.
+// Reports the version that is active at the sender, and asks for any higher
+// one.
 struct ConfigurationQuery {
   1: i64 knownVersion
-  // The sum of the versions of all place rows that the sender has applied: it
-  // rises with every write to any of them.
+  // The sum of the versions of all place rows (data centres or hosts out of
+  // service) that the sender has applied. Every write to any of them raises it.
   2: i64 knownPlaces
 }
 
-// A planned stop hands a stewardship over with exact running counts.
+// Hands a stewardship over at a planned stop, with the exact number of running
+// requests.
 struct HandOver {
   1: UpstreamRef upstream
   2: i64 stewardEpoch
@@ -194,8 +212,8 @@
   1: bool accepted
 }
 
-// A planner asks the steward of a slice's owner to end its grant, so that the
-// table may name another owner.
+// A planner asks the steward of the upstream that owns a slice to end that
+// upstream's grant, so that the table may name another owner.
 struct RevokeSlice {
   1: UpstreamRef upstream
   2: i64 stewardEpoch
@@ -204,7 +222,7 @@
 }
 
 struct RevokeSliceReply {
-  // The grant is surely in force nowhere.
+  // The grant is certain to have ended everywhere.
   1: bool revoked
 }
 
@@ -212,51 +230,55 @@
   1: HostRef sender
 }
 
-// What a host has to do with an upstream: the requests that it has running
-// there, and how long those took that were answered since its last digest.
+// A host's use of an upstream: the requests that it has running there, and how
+// long those took that ended with a response since the host's last digest.
 struct UpstreamUse {
   1: string upstream
   2: i32 running
   3: i32 answers
-  // Mean time of one request without its wait for a slot.
+  // Mean time of one request, without its wait for a slot.
   4: i32 serviceMicros
-  // Requests that wait at the host, as only this upstream owns their keys.
+  // Number of requests that wait at the host for this upstream, because it
+  // alone owns their keys.
   5: i32 waiting
 }
 
-// Which keys of a service a host was asked for since its last digest; a sample
-// where there were many.
+// The keys of a service that callers asked a host for since its last digest. If
+// there were many, only a sample.
 struct KeyUse {
   1: string serviceName
   2: list<i32> keys
 }
 
-// Which map of a service's keys a host goes by: the version of the stored
-// assignment, and the steps (grants, lapses) that its assigner took since.
+// The version of the key map of a service that a host uses: the version of the
+// stored assignment, and as its revision the number of steps (leases granted or
+// expired) that the assigner has taken since.
 struct KeyMapMark {
   1: string serviceName
   2: i64 version
   3: i64 step
   4: HostRef assigner
-  // The last digest that the sender had heard from that assigner's run.
+  // Number of the last digest that the sender received from that incarnation of
+  // the assigner.
   5: i64 heard
 }
 
-// What a host tells others a few times a second: the hosts of its cell all of
-// it; from a hub, to one and to an assigner without `uses`.
+// The digest that a host sends to others a few times per second. The members of
+// its cell (a group of some ten hosts) get all of it. Without `uses` it is also
+// sent by and to hubs (hosts that all others connect to), and to assigners.
 struct HostDigest {
   1: HostRef sender
   2: bool leaving
   3: list<UpstreamUse> uses
-  // Versions of the store's tables as this host knows them.
+  // Versions of this host's replicas of the store's tables.
   4: i64 operatorVersion
   5: i64 upstreamVersion
   6: list<KeyMapMark> keyMaps
   // Only in digests to the assigner of the service.
   7: list<KeyUse> keyUses
-  // Counts the digests of the sender's run.
+  // Counts the digests of the sender's incarnation.
   8: i64 number
-  // The store answers this host, or was not asked.
+  // The store responds to this host, or this host did not call it.
   9: bool reachesStore
   10: i64 hostsVersion
 }
@@ -264,26 +286,27 @@
 struct KeyRange {
   1: i32 first
   2: i32 last
-  // Empty while nobody may be sent these keys.
+  // Empty while no upstream may be sent these keys.
   3: string upstream
 }
 
-// An assigner's map of a service's keys.
+// The map of a service's keys to upstreams, sent by the service's assigner.
 struct KeyMapUpdate {
   1: KeyMapMark mark
-  // All ranges; with a base, those that differ from the map of that mark.
+  // All ranges; if base is set, only those that differ from the map of that
+  // version.
   2: list<KeyRange> ranges
   3: optional KeyMapMark base
 }
 
-// Asks for a table of the store as the receiver knows it: what changed after a
-// version, or the whole where that is 0 or too long ago.
+// Asks for the receiver's replica of a table of the store: the changes after a
+// version, or the full table if that is 0 or too long ago.
 struct TableQuery {
   1: string table
   2: i64 after
 }
 
-// A row as the store has it, or had it when it was removed.
+// A row as it is in the store, or as it was when it was removed (a tombstone).
 struct TableRow {
   1: string key
   2: binary value
@@ -291,14 +314,15 @@
   4: bool removed
 }
 
-// What changed in a table, from a host that follows it at the store to those
-// of its cell that do not, or to one that has asked.
+// Changes of a table. Sent by a host that follows the table at the store to
+// those members of its cell that do not, or to a host that has asked for them.
 struct TableChange {
   1: string table
-  // Of the copy that it changes; of no use where that is not known.
+  // The changes are those after this version of the table. A receiver whose
+  // replica is older ignores them, because it would miss changes.
   2: i64 after
   3: list<TableRow> rows
-  // How long a row that is gone may still be taken as there.
+  // How long the receiver may still use a removed row as if it were present.
   4: i32 graceMs
 }
 
@@ -308,7 +332,7 @@
   3: list<TableRow> rows
 }
 
-// Exactly one of the optional members is set.
+// Exactly one of the optional fields is set.
 struct Frame {
   1: i64 correlation
   2: bool reply
--- a/src/protocol/tests/callerspage_test.cpp
+++ b/src/protocol/tests/callerspage_test.cpp
@@ -1,4 +1,5 @@
-// docs/CALLERS.md tells callers each error as the table in the code has it.
+// Tests that docs/CALLERS.md describes each error as the table in the code
+// does.
 
 #include "protocol/errorkind.h"
 
@@ -13,34 +14,37 @@
 class CallersPageTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CallersPageTest);
-  CPPUNIT_TEST(testPageHasEveryErrorKind);
+  CPPUNIT_TEST(testPageDescribesEveryErrorKind);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // A caller's program reads "not-run" for an error on the page, sends a
-  // deposit again, and it is taken twice: the page was older than the code.
-  void testPageHasEveryErrorKind()
+  // Guards against a page that is older than the code: if it calls the outcome
+  // of an error "not-run" while the request may have run, a caller repeats a
+  // deposit and the money is taken twice.
+  void testPageDescribesEveryErrorKind()
   {
     const std::ifstream file(KUMQUAT_DOCS "/CALLERS.md");
     std::ostringstream page;
     page << file.rdbuf();
-    for (const ErrorInfo& answer : ErrorTable().subspan(1)) {
-      const std::string row = RowOf(answer);
-      CPPUNIT_ASSERT_MESSAGE("the page lacks: " + row,
+    for (const ErrorInfo& info : ErrorTable().subspan(1)) {
+      const std::string row = RowBegin(info);
+      CPPUNIT_ASSERT_MESSAGE("docs/CALLERS.md lacks this row: " + row,
                              page.str().find("\n" + row) != std::string::npos);
     }
-    CPPUNIT_ASSERT_EQUAL(ErrorTable().size() - 1, RowsIn(ErrorsOf(page.str())));
+    CPPUNIT_ASSERT_EQUAL(ErrorTable().size() - 1,
+                         CountRows(ErrorsSection(page.str())));
   }
 
 private:
-  // The page goes on with the meaning, which the code does not have.
-  static std::string RowOf(const ErrorInfo& aAnswer)
+  // The start of the error's row. The row ends with a description, which the
+  // code does not have.
+  static std::string RowBegin(const ErrorInfo& aInfo)
   {
     std::ostringstream row;
-    row << "| `" << aAnswer.name << "` | " << aAnswer.httpStatus << " | "
-        << OutcomeName(aAnswer.outcome) << " | ";
-    if (aAnswer.retryAfter) {
-      row << aAnswer.retryAfter->count() << " s";
+    row << "| `" << aInfo.name << "` | " << aInfo.httpStatus << " | "
+        << OutcomeName(aInfo.outcome) << " | ";
+    if (aInfo.retryAfter) {
+      row << aInfo.retryAfter->count() << " s";
     } else {
       row << "-";
     }
@@ -48,14 +52,14 @@
     return row.str();
   }
 
-  static std::string ErrorsOf(const std::string& aPage)
+  static std::string ErrorsSection(const std::string& aPage)
   {
     const std::size_t start = aPage.find("\n## Errors\n");
     CPPUNIT_ASSERT(start != std::string::npos);
     return aPage.substr(start);
   }
 
-  static std::size_t RowsIn(const std::string& aPage)
+  static std::size_t CountRows(const std::string& aPage)
   {
     std::istringstream lines(aPage);
     std::size_t rows = 0;
--- a/src/protocol/tests/codec_test.cpp
+++ b/src/protocol/tests/codec_test.cpp
@@ -1,4 +1,5 @@
-// Frames survive the codec; what is no frame is refused.
+// Tests that a frame is decoded as it was encoded, and that an invalid one is
+// rejected.
 
 #include "protocol/codec.h"
 #include "protocol/errorkind.h"
@@ -10,12 +11,12 @@
 class CodecTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CodecTest);
-  CPPUNIT_TEST(testFrameSurvives);
-  CPPUNIT_TEST(testTruncatedFrameIsRefused);
+  CPPUNIT_TEST(testDecodedFrameEqualsEncodedOne);
+  CPPUNIT_TEST(testTruncatedFrameIsRejected);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void testFrameSurvives()
+  void testDecodedFrameEqualsEncodedOne()
   {
     Frame frame;
     frame.__set_correlation(42);
@@ -32,9 +33,9 @@
     CPPUNIT_ASSERT(*decoded == frame);
   }
 
-  // A peer that dies in the middle of a frame must not be taken at half its
-  // word: the reader sees fewer bytes than the frame holds.
-  void testTruncatedFrameIsRefused()
+  // Guards against a frame that is accepted in part: when a peer dies while it
+  // sends a frame, the reader gets fewer bytes than the frame has.
+  void testTruncatedFrameIsRejected()
   {
     Frame frame;
     Forward forward;
