--- a/src/framework/tests/metrics_test.cpp
+++ b/src/framework/tests/metrics_test.cpp
@@ -92,10 +92,10 @@
                                      "Refusals.", "kind");
     refusals.Add(protocol::ErrorKind::kInternal);
     const std::string text = metrics.Text();
-    for (const protocol::ErrorInfo& answer : protocol::ErrorTable()) {
+    for (const protocol::ErrorInfo& info : protocol::ErrorTable()) {
       const std::string line =
-        "kumquat_refusals_total{kind=\"" + std::string(answer.name) + "\"} " +
-        (answer.kind == protocol::ErrorKind::kInternal ? "1\n" : "0\n");
+        "kumquat_refusals_total{kind=\"" + std::string(info.name) + "\"} " +
+        (info.kind == protocol::ErrorKind::kInternal ? "1\n" : "0\n");
       CPPUNIT_ASSERT_MESSAGE(line, text.find(line) != std::string::npos);
     }
   }
