--- a/src/node/internal/keyedservices.cpp
+++ b/src/node/internal/keyedservices.cpp
@@ -89,7 +89,9 @@
   };
   own.sendCommand = this->hooks.sendCommand;
   own.candidates = [this, aService] { return this->OwnersOf(aService); };
-  own.peers = [this, aService] { return this->peers.ViewsOf(aService); };
+  own.peers = [this, aService] {
+    return this->peers.PeerStatusesFor(aService);
+  };
   own.publish = [this, aService] { this->Publish(aService); };
   own.preference = this->hooks.preference;
   own.requestConnection = this->hooks.requestConnection;
@@ -381,7 +383,7 @@
 {
   const ownership::MapVersion& mark = aPart.map.CurrentVersion();
   return mark.assignmentVersion > 0 && mark.assigner.host.value.empty() &&
-         this->hooks.followsStore() && !aPeer.maps.contains(aService) &&
+         this->hooks.followsStore() && !aPeer.mapVersions.contains(aService) &&
          !this->WasToldWhole(aPart, aPeer);
 }
 
@@ -394,8 +396,8 @@
     return false;
   }
   const auto& [toldAt, mark] = aPart.history.front();
-  const auto known = aPeer.maps.find(aService);
-  const bool goesByIt = known != aPeer.maps.end() &&
+  const auto known = aPeer.mapVersions.find(aService);
+  const bool goesByIt = known != aPeer.mapVersions.end() &&
                         known->second.assigner == this->self &&
                         !mark.IsNewerThan(known->second);
   return now - toldAt > kMissedAfter && !goesByIt;
--- a/src/node/internal/peers.cpp
+++ b/src/node/internal/peers.cpp
@@ -1,4 +1,4 @@
-// Peers as they were heard, and key maps on the wire.
+// Records of peers' digests, and conversion of key maps to and from messages.
 
 #include "node/internal/peers.h"
 
@@ -10,18 +10,20 @@
 
 namespace {
 
-// Four digests; links lose packets, and a loss costs about a retransmission.
-constexpr std::chrono::milliseconds kSilence{ 1000 };
-// Of hosts that tell each other only each half second.
-constexpr std::chrono::milliseconds kFarSilence{ 2500 };
+// A cell member is silent after this time without a digest, which is four
+// digests. Links lose packets, and each loss delays a digest by about one
+// retransmission.
+constexpr std::chrono::milliseconds kSilenceTimeout{ 1000 };
+// The same for hosts that exchange only brief digests, about every half second.
+constexpr std::chrono::milliseconds kBriefSilenceTimeout{ 2500 };
 
 } // namespace
 
 Peers::Peers(state::HostRef aSelf, Clock aClock,
-             std::function<bool(const state::HostId&)> aIsMate)
+             std::function<bool(const state::HostId&)> aIsCellMember)
   : self(std::move(aSelf))
   , clock(std::move(aClock))
-  , isMate(std::move(aIsMate))
+  , isCellMember(std::move(aIsCellMember))
 {
 }
 
@@ -37,7 +39,7 @@
 {
   const state::HostId id{ aDigest.sender.host };
   KnownPeer& peer = this->peers[id];
-  // A message of a run that has ended since.
+  // The digest is of an incarnation that has ended since.
   if (aDigest.sender.incarnation < peer.host.incarnation) {
     return;
   }
@@ -49,15 +51,15 @@
   peer.upstreamVersion = aDigest.upstreamVersion;
   peer.hostsVersion = aDigest.hostsVersion;
   peer.lastDigestNumber = aDigest.number;
-  peer.maps.clear();
+  peer.mapVersions.clear();
   for (const protocol::KeyMapMark& mark : aDigest.keyMaps) {
     const state::ServiceName service{ mark.serviceName };
-    peer.maps[service] = FromWire(mark);
-    if (peer.maps[service].assigner == this->self) {
-      peer.mapConfirmedAt[service] = this->times.SentAt(mark.heard);
+    peer.mapVersions[service] = FromWire(mark);
+    if (peer.mapVersions[service].assigner == this->self) {
+      peer.mapConfirmedAt[service] = this->digestSendTimes.SentAt(mark.heard);
     }
   }
-  this->silent.erase(id);
+  this->silentPeers.erase(id);
 }
 
 TimePoint Peers::LastHeardAt(const state::HostId& aHost) const
@@ -69,23 +71,23 @@
 bool Peers::IsSilent(const state::HostId& aHost, const KnownPeer& aPeer) const
 {
   return this->clock() - aPeer.lastHeardAt >=
-         (this->isMate(aHost) ? kSilence : kFarSilence);
+         (this->isCellMember(aHost) ? kSilenceTimeout : kBriefSilenceTimeout);
 }
 
 std::set<state::HostId> Peers::Assigners() const
 {
   std::map<state::ServiceName, ownership::MapVersion> newest;
   for (const auto& [id, peer] : this->peers) {
-    for (const auto& [service, mark] : peer.maps) {
+    for (const auto& [service, version] : peer.mapVersions) {
       ownership::MapVersion& known = newest[service];
-      if (mark.IsNewerThan(known)) {
-        known = mark;
+      if (version.IsNewerThan(known)) {
+        known = version;
       }
     }
   }
   std::set<state::HostId> assigners;
-  for (const auto& [service, mark] : newest) {
-    assigners.insert(mark.assigner.host);
+  for (const auto& [service, version] : newest) {
+    assigners.insert(version.assigner.host);
   }
   return assigners;
 }
@@ -94,43 +96,43 @@
 {
   std::vector<state::HostId> live;
   for (const auto& [id, peer] : this->peers) {
-    if (this->isMate(id) && !this->IsSilent(id, peer) && !peer.leaving) {
+    if (this->isCellMember(id) && !this->IsSilent(id, peer) && !peer.leaving) {
       live.push_back(id);
     }
   }
   return live;
 }
 
-std::vector<ownership::PeerStatus> Peers::ViewsOf(
+std::vector<ownership::PeerStatus> Peers::PeerStatusesFor(
   const state::ServiceName& aService) const
 {
-  std::vector<ownership::PeerStatus> views;
+  std::vector<ownership::PeerStatus> statuses;
   for (const auto& [id, peer] : this->peers) {
-    ownership::PeerStatus view{
+    ownership::PeerStatus status{
       peer.host, peer.lastHeardAt, peer.leaving, {}, {}
     };
-    const auto said = peer.mapConfirmedAt.find(aService);
-    if (said != peer.mapConfirmedAt.end()) {
-      view.mapConfirmedAt = said->second;
+    const auto confirmedAt = peer.mapConfirmedAt.find(aService);
+    if (confirmedAt != peer.mapConfirmedAt.end()) {
+      status.mapConfirmedAt = confirmedAt->second;
     }
-    const auto map = peer.maps.find(aService);
-    if (map != peer.maps.end()) {
-      view.mapVersion = map->second;
+    const auto version = peer.mapVersions.find(aService);
+    if (version != peer.mapVersions.end()) {
+      status.mapVersion = version->second;
     }
-    views.push_back(std::move(view));
+    statuses.push_back(std::move(status));
   }
-  return views;
+  return statuses;
 }
 
 std::vector<state::HostId> Peers::TakeNewlySilent()
 {
-  std::vector<state::HostId> fresh;
+  std::vector<state::HostId> newlySilent;
   for (const auto& [id, peer] : this->peers) {
-    if (this->IsSilent(id, peer) && this->silent.insert(id).second) {
-      fresh.push_back(id);
+    if (this->IsSilent(id, peer) && this->silentPeers.insert(id).second) {
+      newlySilent.push_back(id);
     }
   }
-  return fresh;
+  return newlySilent;
 }
 
 ownership::MapVersion FromWire(const protocol::KeyMapMark& aMark)
@@ -141,23 +143,23 @@
 }
 
 protocol::KeyMapMark ToWire(const state::ServiceName& aService,
-                            const ownership::MapVersion& aMark)
+                            const ownership::MapVersion& aVersion)
 {
   protocol::KeyMapMark mark;
   mark.__set_serviceName(aService.value);
-  mark.__set_version(aMark.assignmentVersion);
-  mark.__set_step(aMark.revision);
-  mark.assigner.__set_host(aMark.assigner.host.value);
-  mark.assigner.__set_incarnation(aMark.assigner.incarnation);
+  mark.__set_version(aVersion.assignmentVersion);
+  mark.__set_step(aVersion.revision);
+  mark.assigner.__set_host(aVersion.assigner.host.value);
+  mark.assigner.__set_incarnation(aVersion.assigner.incarnation);
   return mark;
 }
 
 protocol::KeyMapUpdate ToWire(const state::ServiceName& aService,
-                              const ownership::MapVersion& aMark,
+                              const ownership::MapVersion& aVersion,
                               const std::vector<ownership::MapRange>& aRanges)
 {
   protocol::KeyMapUpdate update;
-  update.__set_mark(ToWire(aService, aMark));
+  update.__set_mark(ToWire(aService, aVersion));
   std::ranges::transform(aRanges, std::back_inserter(update.ranges),
                          [](const ownership::MapRange& aRange) {
                            protocol::KeyRange range;
--- a/src/node/internal/peers.h
+++ b/src/node/internal/peers.h
@@ -1,5 +1,5 @@
-// What this host tells its peers a few times a second, and what it has heard
-// from them. On the serving thread.
+// State of the peers as their last digests reported it, and conversion of key
+// maps to and from messages. Used on the serving thread.
 
 #pragma once
 
@@ -18,7 +18,7 @@
 
 namespace kumquat::node {
 
-// A peer as it was last heard.
+// State of a peer as its last digest reported it.
 struct KnownPeer
 {
   state::HostRef host;
@@ -28,38 +28,45 @@
   state::Version operatorVersion = 0;
   state::Version upstreamVersion = 0;
   state::Version hostsVersion = 0;
-  // Of its run; the last that was heard.
+  // Number of the last digest of its current incarnation.
   std::int64_t lastDigestNumber = 0;
-  std::map<state::ServiceName, ownership::MapVersion> maps;
-  // Where a map is this host's own: a time at which the peer surely went by it.
+  std::map<state::ServiceName, ownership::MapVersion> mapVersions;
+  // For services whose map this host assigns: a time at which the peer
+  // certainly used that map.
   std::map<state::ServiceName, TimePoint> mapConfirmedAt;
 };
 
 class Peers
 {
 public:
-  // aIsMate: the host tells everything, several times a second; others tell
-  // less often, and may be silent for longer.
+  // aIsCellMember: whether a host is a cell member, which sends full digests
+  // several times a second. Other hosts send less often and may be silent for
+  // longer.
   Peers(state::HostRef aSelf, Clock aClock,
-        std::function<bool(const state::HostId&)> aIsMate);
+        std::function<bool(const state::HostId&)> aIsCellMember);
 
-  // The number of the digest that is sent now.
-  std::int64_t NextDigest() { return this->times.RecordSend(this->clock()); }
-  // The last digest that was heard from a host's run; 0 where there is none.
+  // Records that a digest is sent now and returns its number.
+  std::int64_t NextDigest()
+  {
+    return this->digestSendTimes.RecordSend(this->clock());
+  }
+  // The number of the last digest received from this incarnation of a host; 0
+  // if there is none.
   std::int64_t LastDigestNumber(const state::HostRef& aHost) const;
 
   void OnDigest(const protocol::HostDigest& aDigest);
 
   const std::map<state::HostId, KnownPeer>& All() const { return this->peers; }
-  // The epoch where it never was.
+  // Time of the last digest of the host; the epoch if none was received.
   TimePoint LastHeardAt(const state::HostId& aHost) const;
-  // Mates heard within the silence that takes a host as gone.
+  // Cell members that are neither silent for too long nor leaving.
   std::vector<state::HostId> LiveCellMembers() const;
-  // Hosts that assign keys by the newest map that any peer goes by.
+  // The assigner of each service according to the newest map that any peer
+  // uses.
   std::set<state::HostId> Assigners() const;
-  std::vector<ownership::PeerStatus> ViewsOf(
+  std::vector<ownership::PeerStatus> PeerStatusesFor(
     const state::ServiceName& aService) const;
-  // Peers that fell silent since the last call.
+  // Peers that became silent since the last call.
   std::vector<state::HostId> TakeNewlySilent();
 
 private:
@@ -67,17 +74,17 @@
 
   const state::HostRef self;
   Clock clock;
-  const std::function<bool(const state::HostId&)> isMate;
-  ownership::DigestSendTimes times;
+  const std::function<bool(const state::HostId&)> isCellMember;
+  ownership::DigestSendTimes digestSendTimes;
   std::map<state::HostId, KnownPeer> peers;
-  std::set<state::HostId> silent;
+  std::set<state::HostId> silentPeers;
 };
 
 ownership::MapVersion FromWire(const protocol::KeyMapMark& aMark);
 protocol::KeyMapMark ToWire(const state::ServiceName& aService,
-                            const ownership::MapVersion& aMark);
+                            const ownership::MapVersion& aVersion);
 protocol::KeyMapUpdate ToWire(const state::ServiceName& aService,
-                              const ownership::MapVersion& aMark,
+                              const ownership::MapVersion& aVersion,
                               const std::vector<ownership::MapRange>& aRanges);
 std::vector<ownership::MapRange> RangesOf(
   const protocol::KeyMapUpdate& aUpdate);
--- a/src/node/internal/peertopology.cpp
+++ b/src/node/internal/peertopology.cpp
@@ -1,4 +1,4 @@
-// Dials and times of digests.
+// Choice of connections, hubs and followers, and the intervals of digests.
 
 #include "node/internal/peertopology.h"
 
@@ -15,36 +15,37 @@
 
 namespace {
 
-// A digest goes to the mates at a tick at which this host's requests have
-// changed by so many since the last one, else after the longest pause. With
-// half of their slots in use upstreams take and end two requests a host between
-// ticks of 100 ms; what peers know of them is then old within a tick, and hosts
-// meet at the same ones. At the heaviest day's load of twelve hosts a pause of
-// 250 ms served 0.69 of the credit and one of 100 ms 0.77 (one trial each).
-constexpr std::int64_t kChangesToTell = 2;
-constexpr milliseconds kLongestPause{ 250 };
-// In cells: hosts are small, their upstreams have more time to spare (targets
-// of four times a request's own time), and a digest costs about as much as a
-// tenth of a request.
-constexpr milliseconds kShortestInCell{ 200 };
-constexpr milliseconds kLongestInCell{ 400 };
-// To hubs and assigners, and from them. An assigner is missed after a second,
-// and each needless takeover costs writes and a new map for everyone; and it
-// learns within this time which keys are hot.
-constexpr milliseconds kOthersPause{ 300 };
-// A hub that was not heard for so long has a stand-in: it is down or cut off,
-// and a connection is up within half a second.
-constexpr milliseconds kHubGone{ 2000 };
-// A hub that was not heard for so long is not relied on for the store's news;
-// it tells something each 300 ms.
-constexpr milliseconds kHubSilent{ 1000 };
-// Of a cell, those that follow the store while no hub does: one may be cut off
-// or stand still.
-constexpr std::ptrdiff_t kReaders = 2;
-// And so many try at most, however many of them the store turns away: it may be
-// out for all.
-constexpr std::ptrdiff_t kMostTrying = 4;
-// A hub goes before any other, whatever its processors.
+// A full digest is sent at a tick at which this many attempts at upstreams have
+// started or ended since the last one, or else after the maximum interval. With
+// half of their slots in use, upstreams start and end two requests per host
+// between ticks of 100 ms. What peers know of them is then outdated within a
+// tick, and hosts choose the same upstreams. At the peak load of twelve hosts,
+// an interval of 250 ms earned 0.69 of the credit for requests and one of 100
+// ms earned 0.77 (one run each).
+constexpr std::int64_t kChangesPerDigest = 2;
+constexpr milliseconds kMaxFullInterval{ 250 };
+// The same intervals when the hosts are divided into cells. These hosts are
+// small, their upstreams have more time to spare (target latencies of four
+// times the service time), and a digest costs about a tenth of a request.
+constexpr milliseconds kMinFullIntervalInCells{ 200 };
+constexpr milliseconds kMaxFullIntervalInCells{ 400 };
+// Interval of brief digests. An assigner counts as unreachable after a second,
+// and each needless takeover costs writes and a new map for every host. An
+// assigner also learns within this interval which keys are hot.
+constexpr milliseconds kBriefInterval{ 300 };
+// A hub is replaced after this time without a digest. It is down or cut off by
+// then, as a connection is established within half a second.
+constexpr milliseconds kHubReplacedAfter{ 2000 };
+// After this time without a digest a hub is not relied on to forward changes of
+// the tables. It sends a digest every 300 ms.
+constexpr milliseconds kHubUnreliableAfter{ 1000 };
+// Number of followers in each cell while no hub follows the store. There are
+// two, as one may be cut off or paused.
+constexpr std::ptrdiff_t kFollowersPerCell = 2;
+// Maximum number of hosts of a cell that try to follow the store, however many
+// of them it rejects, as the store may be unavailable to all of them.
+constexpr std::ptrdiff_t kMaxTryingPerCell = 4;
+// A hub precedes every other host, however many processors that one has.
 constexpr double kHubPreference = 1000;
 
 } // namespace
@@ -105,26 +106,27 @@
   return processors + (this->hubs.contains(aHost) ? kHubPreference : 0);
 }
 
-// Of a host that is dialled; one that was never heard is given its time to
-// answer.
-Duration PeerTopology::SilenceOf(const state::HostId& aHost) const
+// Time since the last digest of a host. For a host that was never heard it
+// counts from when this host began to connect to it, so that it has time to
+// reply.
+Duration PeerTopology::SilenceDuration(const state::HostId& aHost) const
 {
-  const auto found = this->dialled.find(aHost);
-  const TimePoint since =
-    found == this->dialled.end()
+  const auto found = this->connectingSince.find(aHost);
+  const TimePoint sinceLastDigest =
+    found == this->connectingSince.end()
       ? this->hooks.lastHeardAt(aHost)
       : std::max(found->second, this->hooks.lastHeardAt(aHost));
-  return this->hooks.now() - since;
+  return this->hooks.now() - sinceLastDigest;
 }
 
-bool PeerTopology::IsGone(const state::HostId& aHost) const
+bool PeerTopology::IsUnreachable(const state::HostId& aHost) const
 {
-  // One that was never dialled may well be there.
-  return aHost != this->self.id && this->dialled.contains(aHost) &&
-         this->SilenceOf(aHost) > kHubGone;
+  // A host that this one never connected to may be reachable.
+  return aHost != this->self.id && this->connectingSince.contains(aHost) &&
+         this->SilenceDuration(aHost) > kHubReplacedAfter;
 }
 
-std::set<state::HostId> PeerTopology::Wanted() const
+std::set<state::HostId> PeerTopology::WantedConnections() const
 {
   std::set<state::HostId> wanted;
   if (!this->cells.IsDivided()) {
@@ -134,10 +136,10 @@
   }
   wanted = this->cells.Members();
   wanted.insert(this->assigners.begin(), this->assigners.end());
-  // The first choices too, to hear when they are back.
-  const auto first =
+  // Includes the preferred hubs, so that their return is noticed.
+  const auto preferredHubs =
     this->cells.Hubs([](const state::HostId& /*aHost*/) { return false; });
-  wanted.insert(first.begin(), first.end());
+  wanted.insert(preferredHubs.begin(), preferredHubs.end());
   wanted.insert(this->hubs.begin(), this->hubs.end());
   return wanted;
 }
@@ -145,75 +147,75 @@
 PeerTopology::ConnectionChanges PeerTopology::TakeConnectionChanges()
 {
   this->hubs = this->cells.Hubs(
-    [this](const state::HostId& aHost) { return this->IsGone(aHost); });
-  const std::set<state::HostId> wanted = this->Wanted();
-  ConnectionChanges dials;
+    [this](const state::HostId& aHost) { return this->IsUnreachable(aHost); });
+  const std::set<state::HostId> wanted = this->WantedConnections();
+  ConnectionChanges changes;
   for (const state::HostId& id : wanted) {
     const auto known = this->hosts.find(id);
     if (known != this->hosts.end()) {
-      dials.toOpen[id] = known->second.address;
-      this->dialled.try_emplace(id, this->hooks.now());
+      changes.toOpen[id] = known->second.address;
+      this->connectingSince.try_emplace(id, this->hooks.now());
     }
   }
-  std::erase_if(this->dialled, [&](const auto& aItem) {
-    const bool over = !wanted.contains(aItem.first);
-    if (over) {
-      dials.toClose.push_back(aItem.first);
+  std::erase_if(this->connectingSince, [&](const auto& aItem) {
+    const bool isObsolete = !wanted.contains(aItem.first);
+    if (isObsolete) {
+      changes.toClose.push_back(aItem.first);
     }
-    return over;
+    return isObsolete;
   });
-  return dials;
+  return changes;
 }
 
 bool PeerTopology::ShouldFollowTables(
-  const std::vector<state::HostId>& aLiveMates,
+  const std::vector<state::HostId>& aLiveMembers,
   const std::function<bool(const state::HostId&)>& aReachesStore) const
 {
   if (!this->cells.IsDivided() || this->hubs.contains(this->self.id)) {
     return true;
   }
-  if (this->IsAnyHubReading(aReachesStore)) {
+  if (this->IsAnyHubFollowing(aReachesStore)) {
     return false;
   }
-  const auto rank = [](const state::HostId& aHost) {
+  const auto score = [](const state::HostId& aHost) {
     return RendezvousScore(aHost.value, "reader");
   };
-  const std::uint64_t own = rank(this->self.id);
-  const auto goesBefore = [&](const state::HostId& aMate) {
-    return aMate != this->self.id && rank(aMate) > own;
+  const std::uint64_t ownScore = score(this->self.id);
+  const auto ranksBefore = [&](const state::HostId& aMember) {
+    return aMember != this->self.id && score(aMember) > ownScore;
   };
-  const auto before = std::ranges::count_if(aLiveMates, goesBefore);
-  const auto reading =
-    std::ranges::count_if(aLiveMates, [&](const state::HostId& aMate) {
-      return goesBefore(aMate) && aReachesStore(aMate);
+  const auto ranked = std::ranges::count_if(aLiveMembers, ranksBefore);
+  const auto following =
+    std::ranges::count_if(aLiveMembers, [&](const state::HostId& aMember) {
+      return ranksBefore(aMember) && aReachesStore(aMember);
     });
-  return reading < kReaders && before < kMostTrying;
+  return following < kFollowersPerCell && ranked < kMaxTryingPerCell;
 }
 
-bool PeerTopology::IsAnyHubReading(
+bool PeerTopology::IsAnyHubFollowing(
   const std::function<bool(const state::HostId&)>& aReachesStore) const
 {
   return std::ranges::any_of(this->hubs, [&](const state::HostId& aHub) {
-    const bool isUnheard = this->hooks.lastHeardAt(aHub) == TimePoint{};
-    return this->SilenceOf(aHub) < kHubSilent &&
-           (isUnheard || aReachesStore(aHub));
+    const bool isNeverHeard = this->hooks.lastHeardAt(aHub) == TimePoint{};
+    return this->SilenceDuration(aHub) < kHubUnreliableAfter &&
+           (isNeverHeard || aReachesStore(aHub));
   });
 }
 
-// The hub of its data centre, as bytes between those are paid for; where it has
-// none, one of all.
-state::HostId PeerTopology::HomeOf(const state::HostId& aHost) const
+// Returns the hub of the host's data centre, as traffic between data centres is
+// paid for; where it has no hub, one of all hubs by rendezvous hashing.
+state::HostId PeerTopology::AssignedHub(const state::HostId& aHost) const
 {
-  const auto centreOf = [this](const state::HostId& aOne) {
+  const auto dataCentreOf = [this](const state::HostId& aOne) {
     const auto found = this->hosts.find(aOne);
     return aOne == this->self.id        ? this->self.dataCentre
            : found == this->hosts.end() ? state::DataCentre{}
                                         : found->second.host.dataCentre;
   };
-  const state::DataCentre centre = centreOf(aHost);
-  const auto near = std::ranges::find(this->hubs, centre, centreOf);
-  if (near != this->hubs.end()) {
-    return *near;
+  const state::DataCentre dataCentre = dataCentreOf(aHost);
+  const auto localHub = std::ranges::find(this->hubs, dataCentre, dataCentreOf);
+  if (localHub != this->hubs.end()) {
+    return *localHub;
   }
   return *std::ranges::max_element(this->hubs, {}, [&](const auto& aHub) {
     return RendezvousScore(aHost.value, aHub.value);
@@ -226,51 +228,54 @@
     return false;
   }
   if (this->hubs.contains(this->self.id)) {
-    return this->hubs.contains(aHost) || this->HomeOf(aHost) == this->self.id;
+    return this->hubs.contains(aHost) ||
+           this->AssignedHub(aHost) == this->self.id;
   }
   return this->IsCellMember(aHost);
 }
 
-bool PeerTopology::IsMatesDue(std::int64_t aChanges) const
+bool PeerTopology::IsFullDigestDue(std::int64_t aLoadChanges) const
 {
   const bool divided = this->cells.IsDivided();
-  const Duration since = this->hooks.now() - this->matesToldAt;
-  return (aChanges - this->toldChanges >= kChangesToTell &&
-          (!divided || since >= kShortestInCell)) ||
-         since >= (divided ? kLongestInCell : kLongestPause);
+  const Duration sinceLastDigest = this->hooks.now() - this->fullDigestSentAt;
+  return (aLoadChanges - this->announcedLoadChanges >= kChangesPerDigest &&
+          (!divided || sinceLastDigest >= kMinFullIntervalInCells)) ||
+         sinceLastDigest >=
+           (divided ? kMaxFullIntervalInCells : kMaxFullInterval);
 }
 
 PeerTopology::DigestRecipients PeerTopology::TakeDigestRecipients(
-  const std::set<std::string>& aReachable, std::int64_t aChanges)
+  const std::set<std::string>& aConnectedPeers, std::int64_t aLoadChanges)
 {
-  DigestRecipients due;
+  DigestRecipients recipients;
   const TimePoint now = this->hooks.now();
-  const bool isHurried = std::exchange(this->hurries, false);
-  const bool matesDue = isHurried || this->IsMatesDue(aChanges);
-  const bool assigns = this->assigners.contains(this->self.id);
-  const bool othersDue =
+  const bool isRequested = std::exchange(this->isDigestRequested, false);
+  const bool isFullDue = isRequested || this->IsFullDigestDue(aLoadChanges);
+  const bool isAssigner = this->assigners.contains(this->self.id);
+  const bool isBriefDue =
     this->cells.IsDivided() &&
-    (isHurried || now - this->othersToldAt >= kOthersPause);
-  if (matesDue) {
-    this->matesToldAt = now;
-    this->toldChanges = aChanges;
+    (isRequested || now - this->briefDigestSentAt >= kBriefInterval);
+  if (isFullDue) {
+    this->fullDigestSentAt = now;
+    this->announcedLoadChanges = aLoadChanges;
   }
-  if (othersDue) {
-    this->othersToldAt = now;
+  if (isBriefDue) {
+    this->briefDigestSentAt = now;
   }
-  const bool tellsAll = assigns || this->hubs.contains(this->self.id);
-  for (const std::string& host : aReachable) {
+  const bool sendsToAll = isAssigner || this->hubs.contains(this->self.id);
+  for (const std::string& host : aConnectedPeers) {
     const state::HostId id{ host };
-    const bool isMate = this->IsCellMember(id);
-    if (isMate && matesDue) {
-      due.full.push_back(host);
+    const bool isCellMember = this->IsCellMember(id);
+    if (isCellMember && isFullDue) {
+      recipients.full.push_back(host);
     }
-    if (!isMate && othersDue &&
-        (tellsAll || this->hubs.contains(id) || this->assigners.contains(id))) {
-      due.brief.push_back(host);
+    if (!isCellMember && isBriefDue &&
+        (sendsToAll || this->hubs.contains(id) ||
+         this->assigners.contains(id))) {
+      recipients.brief.push_back(host);
     }
   }
-  return due;
+  return recipients;
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/peertopology.h
+++ b/src/node/internal/peertopology.h
@@ -1,10 +1,12 @@
-// Which hosts this one keeps connections to, and which of them it tells about
-// itself now. Pure: the hosts' table, what is heard and the clock come in.
+// Decides which hosts this one keeps connections to, and which of them it sends
+// its digest to at each tick. It does no I/O: the host table, the times of the
+// last digests and the clock are passed in.
 //
-// Up to some twenty hosts all tell each other everything. Beyond that a host
-// tells its cell everything, and a hub or an assigner of keys only that it is
-// there and what it knows the versions of; hubs and assigners tell everyone
-// that. So news and new assigners get round in two steps at any size.
+// Up to some twenty hosts all exchange full digests. Beyond that a host sends
+// full digests to its cell members only. Hubs and assigners of keys get a brief
+// digest from every host, which shows that the host is reachable and which
+// versions it has, and they send one to every host. So every host
+// learns of a change or of a new assigner in two steps, whatever their number.
 
 #pragma once
 
@@ -33,15 +35,15 @@
   struct Hooks
   {
     Clock now;
-    // When the host's last digest came; the epoch where none did.
+    // Time of the last digest of the host; the epoch if none was received.
     std::function<TimePoint(const state::HostId&)> lastHeardAt;
   };
 
   PeerTopology(routing::CellHost aSelf, Hooks aHooks);
 
-  // The hosts' table; this host need not be in it.
+  // Sets the hosts of the host table. It need not contain this host.
   void SetHosts(std::vector<HostAddress> aHosts);
-  // Hosts that assign keys, as far as anyone heard knows.
+  // Sets the hosts that assign keys, as far as this host and its peers know.
   void SetAssigners(std::set<state::HostId> aAssigners);
 
   const routing::Cells& Cells() const { return this->cells; }
@@ -51,10 +53,12 @@
     return this->hubs.contains(aHost);
   }
   bool IsKnown(const state::HostId& aHost) const;
-  // Of this host's cell; all are while there are no cells.
+  // Whether the host is a member of this host's cell. Every host is while the
+  // hosts are not divided into cells.
   bool IsCellMember(const state::HostId& aHost) const;
   std::vector<state::HostId> AllHosts() const;
-  // Which host should be asked first for a duty; the higher one.
+  // Precedence of a host as assigner of keys: of any two hosts the one with the
+  // higher value should claim first.
   double DutyPreference(const state::HostId& aHost) const;
 
   struct ConnectionChanges
@@ -63,56 +67,61 @@
     std::vector<state::HostId> toClose;
   };
 
-  // What changed since the last call in whom to connect to.
+  // Chooses the hubs and returns the connections to keep and to close. toOpen
+  // holds every wanted host with its address, also those that are connected
+  // already; toClose holds those that are no longer wanted.
   ConnectionChanges TakeConnectionChanges();
 
   struct DigestRecipients
   {
-    // They are told everything.
+    // Hosts that get a full digest, with the load of the upstreams.
     std::vector<std::string> full;
-    // They are told little.
+    // Hosts that get a brief digest, without it.
     std::vector<std::string> brief;
   };
 
   // Whether this host should follow the store's tables itself. aReachesStore
-  // says it of a hub, or of a mate that is live.
+  // returns whether a hub, or a live cell member, reaches the store.
   bool ShouldFollowTables(
-    const std::vector<state::HostId>& aLiveMates,
+    const std::vector<state::HostId>& aLiveMembers,
     const std::function<bool(const state::HostId&)>& aReachesStore) const;
 
-  // Whether this host, which follows the store, tells the other one of its
-  // news. The hubs share the hosts among them and tell each other; one that
-  // follows as no hub does tells its mates.
+  // Whether this host, which follows the tables at the store, forwards their
+  // changes to the other host. Each host is assigned to one hub, and hubs
+  // forward to each other as well. A follower that is not a hub forwards to its
+  // cell members.
   bool ForwardsChangesTo(const state::HostId& aHost) const;
 
-  // The next digest goes to everyone whatever has changed.
-  void RequestImmediateDigest() { this->hurries = true; }
-  // Whom a digest goes to now. aChanges are sends and ends at upstreams since
-  // the start.
-  DigestRecipients TakeDigestRecipients(const std::set<std::string>& aReachable,
-                                        std::int64_t aChanges);
+  // Sends the next digest to every recipient, even if its interval has not
+  // passed.
+  void RequestImmediateDigest() { this->isDigestRequested = true; }
+  // Returns the connected hosts that get a digest now, and counts them as sent
+  // to. aLoadChanges is the number of attempts at upstreams that started or
+  // ended since this host's start.
+  DigestRecipients TakeDigestRecipients(
+    const std::set<std::string>& aConnectedPeers, std::int64_t aLoadChanges);
 
 private:
-  bool IsGone(const state::HostId& aHost) const;
-  Duration SilenceOf(const state::HostId& aHost) const;
-  bool IsAnyHubReading(
+  bool IsUnreachable(const state::HostId& aHost) const;
+  Duration SilenceDuration(const state::HostId& aHost) const;
+  bool IsAnyHubFollowing(
     const std::function<bool(const state::HostId&)>& aReachesStore) const;
-  state::HostId HomeOf(const state::HostId& aHost) const;
-  std::set<state::HostId> Wanted() const;
-  bool IsMatesDue(std::int64_t aChanges) const;
+  state::HostId AssignedHub(const state::HostId& aHost) const;
+  std::set<state::HostId> WantedConnections() const;
+  bool IsFullDigestDue(std::int64_t aLoadChanges) const;
 
   const routing::CellHost self;
   const Hooks hooks;
   routing::Cells cells;
   std::map<state::HostId, HostAddress> hosts;
   std::set<state::HostId> assigners;
-  // Whom this host dials, and since when.
-  std::map<state::HostId, TimePoint> dialled;
+  // Hosts that this one keeps connections to, and since when it does.
+  std::map<state::HostId, TimePoint> connectingSince;
   std::set<state::HostId> hubs;
-  TimePoint matesToldAt;
-  TimePoint othersToldAt;
-  std::int64_t toldChanges = 0;
-  bool hurries = false;
+  TimePoint fullDigestSentAt;
+  TimePoint briefDigestSentAt;
+  std::int64_t announcedLoadChanges = 0;
+  bool isDigestRequested = false;
 };
 
 } // namespace kumquat::node
--- a/src/node/tests/peertopology_test.cpp
+++ b/src/node/tests/peertopology_test.cpp
@@ -1,5 +1,5 @@
-// Whom a host of a large deployment connects to, tells about itself, and leaves
-// the store to.
+// Tests of which hosts a host connects to and sends digests to, and of which
+// hosts follow the store's tables.
 
 #include "node/internal/peertopology.h"
 
@@ -15,190 +15,202 @@
 
 using std::chrono::milliseconds;
 
-class NeighboursTest : public CppUnit::TestFixture
+class PeerTopologyTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(NeighboursTest);
-  CPPUNIT_TEST(testFewHostsTellEachOtherEverything);
-  CPPUNIT_TEST(testManyHostsTellTheirCellAndTheHubs);
-  CPPUNIT_TEST(testHubTellsEveryone);
-  CPPUNIT_TEST(testLostHubHasAStandIn);
-  CPPUNIT_TEST(testCellHasTwoReadersThatReachTheStore);
-  CPPUNIT_TEST(testHubsAloneFollowTheStoreWhileOneReachesIt);
-  CPPUNIT_TEST(testHubsShareTheHostsThatTheyTell);
+  CPPUNIT_TEST_SUITE(PeerTopologyTest);
+  CPPUNIT_TEST(testFewHostsSendFullDigestsToAll);
+  CPPUNIT_TEST(testHostsInCellsSendToCellAndHubs);
+  CPPUNIT_TEST(testHubSendsToAllHosts);
+  CPPUNIT_TEST(testUnreachableHubIsReplaced);
+  CPPUNIT_TEST(testCellHasTwoFollowersThatReachStore);
+  CPPUNIT_TEST(testOnlyHubsFollowWhileOneReachesStore);
+  CPPUNIT_TEST(testEachHostIsAssignedToOneHub);
   CPPUNIT_TEST_SUITE_END();
 
 public:
   void setUp() override
   {
     this->now = TimePoint(std::chrono::hours(1));
-    this->heard.clear();
+    this->lastHeard.clear();
   }
 
-  void testFewHostsTellEachOtherEverything()
+  // In a small deployment every host has to know what all others run, as soon
+  // as enough of it has changed.
+  void testFewHostsSendFullDigestsToAll()
   {
-    PeerTopology neighbours = this->Make(0, 12);
+    PeerTopology topology = this->MakeTopology(0, 12);
     CPPUNIT_ASSERT_EQUAL(std::size_t{ 11 },
-                         neighbours.TakeConnectionChanges().toOpen.size());
-    const auto due = neighbours.TakeDigestRecipients(Names(12), 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 12 }, due.full.size());
-    CPPUNIT_ASSERT(due.brief.empty());
-    // Nothing has changed since, and the pause is not over.
+                         topology.TakeConnectionChanges().toOpen.size());
+    const auto recipients = topology.TakeDigestRecipients(HostNames(12), 0);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 12 }, recipients.full.size());
+    CPPUNIT_ASSERT(recipients.brief.empty());
+    // Too little has changed since, and the maximum interval has not passed.
     this->now += milliseconds(100);
-    CPPUNIT_ASSERT(neighbours.TakeDigestRecipients(Names(12), 1).full.empty());
-    CPPUNIT_ASSERT(!neighbours.TakeDigestRecipients(Names(12), 2).full.empty());
+    CPPUNIT_ASSERT(
+      topology.TakeDigestRecipients(HostNames(12), 1).full.empty());
+    CPPUNIT_ASSERT(
+      !topology.TakeDigestRecipients(HostNames(12), 2).full.empty());
   }
 
-  void testManyHostsTellTheirCellAndTheHubs()
+  // Digests to all hosts cost each host more with every further host. In cells
+  // a host sends them only to cell members, hubs and assigners.
+  void testHostsInCellsSendToCellAndHubs()
   {
-    PeerTopology neighbours = this->Make(0, 60);
-    neighbours.SetAssigners({ { "host-30" } });
-    const auto dials = neighbours.TakeConnectionChanges();
-    CPPUNIT_ASSERT(dials.toOpen.size() < 20);
-    CPPUNIT_ASSERT(dials.toOpen.contains({ "host-30" }));
-    const auto due = neighbours.TakeDigestRecipients(Names(60), 0);
-    CPPUNIT_ASSERT(due.full.size() < 15);
-    CPPUNIT_ASSERT(!due.brief.empty() && due.brief.size() <= 4);
-    for (const std::string& mate : due.full) {
-      CPPUNIT_ASSERT(neighbours.IsCellMember({ mate }));
+    PeerTopology topology = this->MakeTopology(0, 60);
+    topology.SetAssigners({ { "host-30" } });
+    const auto changes = topology.TakeConnectionChanges();
+    CPPUNIT_ASSERT(changes.toOpen.size() < 20);
+    CPPUNIT_ASSERT(changes.toOpen.contains({ "host-30" }));
+    const auto recipients = topology.TakeDigestRecipients(HostNames(60), 0);
+    CPPUNIT_ASSERT(recipients.full.size() < 15);
+    CPPUNIT_ASSERT(!recipients.brief.empty() && recipients.brief.size() <= 4);
+    for (const std::string& member : recipients.full) {
+      CPPUNIT_ASSERT(topology.IsCellMember({ member }));
     }
   }
 
-  void testHubTellsEveryone()
+  // A hub has to reach every host, and precedes all others as assigner.
+  void testHubSendsToAllHosts()
   {
-    PeerTopology neighbours = this->Make(0, 60, 5);
-    neighbours.TakeConnectionChanges();
-    const auto due = neighbours.TakeDigestRecipients(Names(60), 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 60 }, due.full.size() + due.brief.size());
-    CPPUNIT_ASSERT(neighbours.DutyPreference({ "host-0" }) >
-                   neighbours.DutyPreference({ "host-1" }));
+    PeerTopology topology = this->MakeTopology(0, 60, 5);
+    topology.TakeConnectionChanges();
+    const auto recipients = topology.TakeDigestRecipients(HostNames(60), 0);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 60 },
+                         recipients.full.size() + recipients.brief.size());
+    CPPUNIT_ASSERT(topology.DutyPreference({ "host-0" }) >
+                   topology.DutyPreference({ "host-1" }));
   }
 
-  // A hub's host loses power. Until it is heard again another one of its data
-  // centre hears everyone, and the first is dialled on.
-  void testLostHubHasAStandIn()
+  // The host of a hub loses power. Until it is heard again another host of its
+  // data centre has to be hub, and connecting to the lost one has to go on.
+  void testUnreachableHubIsReplaced()
   {
-    PeerTopology neighbours = this->Make(0, 60);
-    neighbours.TakeConnectionChanges();
-    const std::set<std::string> before = this->HubsOf(neighbours);
-    const std::string lost = *before.begin();
+    PeerTopology topology = this->MakeTopology(0, 60);
+    topology.TakeConnectionChanges();
+    const std::set<std::string> before = this->HubsOf(topology);
+    const std::string lostHub = *before.begin();
     this->now += milliseconds(2500);
-    for (const std::string& name : Names(60)) {
-      if (name != lost) {
-        this->heard[{ name }] = this->now;
+    for (const std::string& name : HostNames(60)) {
+      if (name != lostHub) {
+        this->lastHeard[{ name }] = this->now;
       }
     }
-    const auto dials = neighbours.TakeConnectionChanges();
-    CPPUNIT_ASSERT(dials.toOpen.contains({ lost }));
-    const std::set<std::string> after = this->HubsOf(neighbours);
-    CPPUNIT_ASSERT(!after.contains(lost));
+    const auto changes = topology.TakeConnectionChanges();
+    CPPUNIT_ASSERT(changes.toOpen.contains({ lostHub }));
+    const std::set<std::string> after = this->HubsOf(topology);
+    CPPUNIT_ASSERT(!after.contains(lostHub));
     CPPUNIT_ASSERT_EQUAL(before.size(), after.size());
-    this->heard[{ lost }] = this->now;
-    neighbours.TakeConnectionChanges();
-    CPPUNIT_ASSERT(this->HubsOf(neighbours) == before);
+    this->lastHeard[{ lostHub }] = this->now;
+    topology.TakeConnectionChanges();
+    CPPUNIT_ASSERT(this->HubsOf(topology) == before);
   }
 
-  // No hub is heard: two of a cell follow the store. The store turns both away,
-  // and two others do, while the first go on trying.
-  void testCellHasTwoReadersThatReachTheStore()
+  // No hub is heard, so two members of each cell follow the store. If the store
+  // rejects both, two others have to follow, while the first ones go on trying.
+  void testCellHasTwoFollowersThatReachStore()
   {
-    std::set<state::HostId> turnedAway;
-    const auto readers = [&] {
-      std::set<state::HostId> reading;
-      const PeerTopology first = this->Make(0, 60);
-      for (const state::HostId& mate : first.Cells().Members()) {
-        const int number = std::stoi(mate.value.substr(5));
-        PeerTopology neighbours = this->Make(number, 60);
-        neighbours.TakeConnectionChanges();
+    std::set<state::HostId> rejected;
+    const auto followers = [&] {
+      std::set<state::HostId> following;
+      const PeerTopology first = this->MakeTopology(0, 60);
+      for (const state::HostId& member : first.Cells().Members()) {
+        const int number = std::stoi(member.value.substr(5));
+        PeerTopology topology = this->MakeTopology(number, 60);
+        topology.TakeConnectionChanges();
         this->now += milliseconds(1500);
-        const std::set<state::HostId>& mates = first.Cells().Members();
-        const bool isHub = neighbours.DutyPreference(mate) > 1;
+        const std::set<state::HostId>& members = first.Cells().Members();
+        const bool isHub = topology.DutyPreference(member) > 1;
         if (!isHub &&
-            neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
-                                          [&](const state::HostId& aHost) {
-                                            return !turnedAway.contains(aHost);
-                                          })) {
-          reading.insert(mate);
+            topology.ShouldFollowTables({ members.begin(), members.end() },
+                                        [&](const state::HostId& aHost) {
+                                          return !rejected.contains(aHost);
+                                        })) {
+          following.insert(member);
         }
       }
-      return reading;
+      return following;
     };
-    const std::set<state::HostId> usual = readers();
-    CPPUNIT_ASSERT(usual.size() == 1 || usual.size() == 2);
-    turnedAway = usual;
-    const std::set<state::HostId> more = readers();
-    CPPUNIT_ASSERT_EQUAL(2 * usual.size(), more.size());
-    CPPUNIT_ASSERT(std::ranges::includes(more, usual));
+    const std::set<state::HostId> usualFollowers = followers();
+    CPPUNIT_ASSERT(usualFollowers.size() == 1 || usualFollowers.size() == 2);
+    rejected = usualFollowers;
+    const std::set<state::HostId> followersWithRejected = followers();
+    CPPUNIT_ASSERT_EQUAL(2 * usualFollowers.size(),
+                         followersWithRejected.size());
+    CPPUNIT_ASSERT(
+      std::ranges::includes(followersWithRejected, usualFollowers));
   }
 
-  // Two readers a cell made the calls for one change grow with the hosts.
-  void testHubsAloneFollowTheStoreWhileOneReachesIt()
+  // With two followers in each cell the calls for one change grew with the
+  // number of hosts. While a hub reaches the store, only hubs have to follow
+  // it.
+  void testOnlyHubsFollowWhileOneReachesStore()
   {
-    std::set<state::HostId> turnedAway;
-    const auto readers = [&] {
+    std::set<state::HostId> rejected;
+    const auto followers = [&] {
       int count = 0;
       for (int i = 0; i < 60; ++i) {
-        PeerTopology neighbours = this->Make(i, 60);
-        neighbours.TakeConnectionChanges();
-        this->HearAll();
-        const std::set<state::HostId>& mates = neighbours.Cells().Members();
-        count +=
-          neighbours.ShouldFollowTables({ mates.begin(), mates.end() },
-                                        [&](const state::HostId& aHost) {
-                                          return !turnedAway.contains(aHost);
-                                        })
-            ? 1
-            : 0;
+        PeerTopology topology = this->MakeTopology(i, 60);
+        topology.TakeConnectionChanges();
+        this->HeardFromAll();
+        const std::set<state::HostId>& members = topology.Cells().Members();
+        count += topology.ShouldFollowTables({ members.begin(), members.end() },
+                                             [&](const state::HostId& aHost) {
+                                               return !rejected.contains(aHost);
+                                             })
+                   ? 1
+                   : 0;
       }
       return count;
     };
-    CPPUNIT_ASSERT_EQUAL(3, readers());
-    PeerTopology any = this->Make(0, 60);
-    any.TakeConnectionChanges();
-    for (const std::string& hub : HubsOf(any)) {
-      CPPUNIT_ASSERT_EQUAL(3, readers());
-      turnedAway.insert({ hub });
+    CPPUNIT_ASSERT_EQUAL(3, followers());
+    PeerTopology anyHost = this->MakeTopology(0, 60);
+    anyHost.TakeConnectionChanges();
+    for (const std::string& hub : HubsOf(anyHost)) {
+      CPPUNIT_ASSERT_EQUAL(3, followers());
+      rejected.insert({ hub });
     }
-    // None of them reaches the store.
-    CPPUNIT_ASSERT(readers() > 12);
+    // None of the hubs reaches the store.
+    CPPUNIT_ASSERT(followers() > 12);
   }
 
-  // Each host has the news from one hub, of its own data centre where it has
-  // one; the hubs tell each other.
-  void testHubsShareTheHostsThatTheyTell()
+  // Each host gets changes from one hub, of its own data centre if that has
+  // one, and the hubs forward to each other. Two of these tests' three hubs
+  // forward to each hub.
+  void testEachHostIsAssignedToOneHub()
   {
-    PeerTopology any = this->Make(0, 60);
-    any.TakeConnectionChanges();
-    const std::set<std::string> hubs = HubsOf(any);
-    std::map<std::string, int> told;
+    PeerTopology anyHost = this->MakeTopology(0, 60);
+    anyHost.TakeConnectionChanges();
+    const std::set<std::string> hubs = HubsOf(anyHost);
+    std::map<std::string, int> senders;
     for (const std::string& hub : hubs) {
       const int number = std::stoi(hub.substr(5));
-      PeerTopology neighbours = this->Make(number, 60);
-      neighbours.TakeConnectionChanges();
-      for (const std::string& name : Names(60)) {
-        told[name] +=
-          name != hub && neighbours.ForwardsChangesTo({ name }) ? 1 : 0;
+      PeerTopology topology = this->MakeTopology(number, 60);
+      topology.TakeConnectionChanges();
+      for (const std::string& name : HostNames(60)) {
+        senders[name] +=
+          name != hub && topology.ForwardsChangesTo({ name }) ? 1 : 0;
       }
     }
-    for (const auto& [name, times] : told) {
+    for (const auto& [name, times] : senders) {
       CPPUNIT_ASSERT_EQUAL(hubs.contains(name) ? 2 : 1, times);
     }
   }
 
 private:
-  void HearAll()
+  void HeardFromAll()
   {
-    for (const std::string& name : Names(60)) {
-      this->heard[{ name }] = this->now;
+    for (const std::string& name : HostNames(60)) {
+      this->lastHeard[{ name }] = this->now;
     }
   }
 
-  static std::set<std::string> Names(int aCount)
+  static std::set<std::string> HostNames(int aCount)
   {
-    std::set<std::string> names;
+    std::set<std::string> hostNames;
     for (int i = 0; i < aCount; ++i) {
-      names.insert("host-" + std::to_string(i));
+      hostNames.insert("host-" + std::to_string(i));
     }
-    return names;
+    return hostNames;
   }
 
   static routing::CellHost HostOf(int aNumber, double aProcessors)
@@ -208,28 +220,30 @@
              aProcessors };
   }
 
-  // Host aSelf of aCount, with so many processors where the others have one.
-  PeerTopology Make(int aSelf, int aCount, double aProcessors = 1)
+  // Makes the topology of host aSelf of aCount hosts. It has aProcessors
+  // processors, the others have one each.
+  PeerTopology MakeTopology(int aSelf, int aCount, double aProcessors = 1)
   {
-    PeerTopology neighbours(
-      HostOf(aSelf, aProcessors),
-      { [this] { return this->now; },
-        [this](const state::HostId& aHost) { return this->heard[aHost]; } });
+    PeerTopology topology(HostOf(aSelf, aProcessors),
+                          { [this] { return this->now; },
+                            [this](const state::HostId& aHost) {
+                              return this->lastHeard[aHost];
+                            } });
     std::vector<HostAddress> hosts;
     hosts.reserve(static_cast<std::size_t>(aCount));
     for (int i = 0; i < aCount; ++i) {
       hosts.push_back({ HostOf(i, 1), "10.0.0.1:" + std::to_string(7000 + i) });
     }
-    neighbours.SetHosts(std::move(hosts));
-    return neighbours;
+    topology.SetHosts(std::move(hosts));
+    return topology;
   }
 
-  // As the host sees them: they go before all others.
-  static std::set<std::string> HubsOf(const PeerTopology& aNeighbours)
+  // The hubs as this host knows them; they precede all other hosts.
+  static std::set<std::string> HubsOf(const PeerTopology& aTopology)
   {
     std::set<std::string> hubs;
-    for (const std::string& name : Names(60)) {
-      if (aNeighbours.DutyPreference({ name }) > 100) {
+    for (const std::string& name : HostNames(60)) {
+      if (aTopology.DutyPreference({ name }) > 100) {
         hubs.insert(name);
       }
     }
@@ -237,9 +251,9 @@
   }
 
   TimePoint now;
-  std::map<state::HostId, TimePoint> heard;
+  std::map<state::HostId, TimePoint> lastHeard;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NeighboursTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PeerTopologyTest);
 
 } // namespace kumquat::node
