--- a/src/routing/tests/upstreams_test.cpp
+++ b/src/routing/tests/upstreams_test.cpp
@@ -1,4 +1,4 @@
-// What a host knows of upstreams, and routes.
+// Tests what a host knows of upstreams, and the lookup of routes.
 
 #include "routing/configuration.h"
 #include "routing/placement.h"
@@ -14,21 +14,23 @@
 {
   CPPUNIT_TEST_SUITE(UpstreamsTest);
   CPPUNIT_TEST(testLongestPrefixWins);
-  CPPUNIT_TEST(testOlderLifeChangesNothing);
-  CPPUNIT_TEST(testLateHeartbeatBringsNoLeavingUpstreamBack);
-  CPPUNIT_TEST(testLateHeartbeatBringsNoGoneUpstreamBack);
-  CPPUNIT_TEST(testLateAnswerOfAnOldAddressKeepsTheNewLife);
-  CPPUNIT_TEST(testNewLifeForgetsTheOld);
-  CPPUNIT_TEST(testLapsedEntryInGrace);
-  CPPUNIT_TEST(testUnreachableUpstreamRests);
-  CPPUNIT_TEST(testPeersRequestsCount);
-  CPPUNIT_TEST(testPeersTeachServiceTimes);
+  CPPUNIT_TEST(testEntryOfPreviousIncarnationIsIgnored);
+  CPPUNIT_TEST(testLateHeartbeatDoesNotUndoLeaving);
+  CPPUNIT_TEST(testLateHeartbeatDoesNotRestoreRemovedUpstream);
+  CPPUNIT_TEST(testLateResponseOfOldAddressKeepsNewIncarnation);
+  CPPUNIT_TEST(testNewIncarnationIsNotEjected);
+  CPPUNIT_TEST(testExpiredEntryIsUsedDuringGrace);
+  CPPUNIT_TEST(testUnreachableUpstreamIsEjected);
+  CPPUNIT_TEST(testRequestsOfPeersCount);
+  CPPUNIT_TEST(testServiceTimesComeFromPeersToo);
   CPPUNIT_TEST(testUpstreamThatWasColdIsUsedOnceWarm);
-  CPPUNIT_TEST(testUpstreamWhoseSlowSpellEndedIsUsedAgain);
-  CPPUNIT_TEST(testUpstreamThatJoinsIsUsedWhileFastOnesHaveRoom);
+  CPPUNIT_TEST(testUpstreamWhoseSlowPeriodEndedIsUsedAgain);
+  CPPUNIT_TEST(testNewUpstreamIsUsedWhileFastOnesHaveCapacity);
   CPPUNIT_TEST_SUITE_END();
 
 public:
+  // A request goes to the route with the longest matching prefix. A prefix in
+  // the query must not count.
   void testLongestPrefixWins()
   {
     Configuration text;
@@ -43,16 +45,18 @@
     CPPUNIT_ASSERT(table.FindRoute("other", "/a/b/c") == nullptr);
   }
 
-  // A message of the life before comes late: it must not bring that back.
-  void testOlderLifeChangesNothing()
+  // An entry of the previous incarnation arrives late, and must not bring that
+  // one back.
+  void testEntryOfPreviousIncarnationIsIgnored()
   {
     this->Put(2, false);
     this->Put(1, true);
     CPPUNIT_ASSERT(!this->upstreams.Find({ "u" })->entry.leaving);
   }
 
-  // A heartbeat of before an upstream's word that it leaves is stored after it.
-  void testLateHeartbeatBringsNoLeavingUpstreamBack()
+  // An upstream's heartbeat from before it announced that it leaves is stored
+  // after the announcement.
+  void testLateHeartbeatDoesNotUndoLeaving()
   {
     this->Put(1, false, 7);
     this->Put(1, true, 9);
@@ -65,7 +69,7 @@
   }
 
   // A heartbeat is stored after its upstream's entry was removed.
-  void testLateHeartbeatBringsNoGoneUpstreamBack()
+  void testLateHeartbeatDoesNotRestoreRemovedUpstream()
   {
     this->Put(1, true, 9);
     this->upstreams.RemoveEntry({ "u" }, this->now, milliseconds(0));
@@ -78,8 +82,9 @@
     CPPUNIT_ASSERT(!this->upstreams.Find({ "u" })->entry.leaving);
   }
 
-  // A request to an upstream's former address is answered by who has it now.
-  void testLateAnswerOfAnOldAddressKeepsTheNewLife()
+  // A request to an upstream's previous address is answered by whichever
+  // upstream has that address now.
+  void testLateResponseOfOldAddressKeepsNewIncarnation()
   {
     this->Put(1, false, 1);
     this->upstreams.OnReplaced({ "u" }, "10.0.0.9:80", this->now);
@@ -88,7 +93,9 @@
     CPPUNIT_ASSERT(this->upstreams.Find({ "u" }) == nullptr);
   }
 
-  void testNewLifeForgetsTheOld()
+  // An upstream was ejected and has restarted: failures of its previous
+  // incarnation must not keep requests away.
+  void testNewIncarnationIsNotEjected()
   {
     this->Put(1, false);
     this->upstreams.OnSent({ "u" }, this->now);
@@ -99,9 +106,9 @@
     CPPUNIT_ASSERT(HasCapacity(*this->upstreams.Find({ "u" }), this->now));
   }
 
-  // The store was away, and with it all entries lapsed. Live upstreams are back
+  // The store was unavailable, and all entries expired. Live upstreams are back
   // two seconds after its return; until then they are used as before.
-  void testLapsedEntryInGrace()
+  void testExpiredEntryIsUsedDuringGrace()
   {
     this->Put(1, false);
     this->upstreams.RemoveEntry({ "u" }, this->now, milliseconds(2000));
@@ -116,8 +123,9 @@
   }
 
   // An upstream lost power. The first request that cannot connect keeps the
-  // next ones away, one is let through after a while, and a success ends it.
-  void testUnreachableUpstreamRests()
+  // next ones away, one is let through after a while, and a success ends the
+  // ejection.
+  void testUnreachableUpstreamIsEjected()
   {
     this->Put(1, false);
     this->Fail(AttemptResult::kUnreachable);
@@ -134,7 +142,9 @@
     CPPUNIT_ASSERT(HasCapacity(state, this->now));
   }
 
-  void testPeersRequestsCount()
+  // Several hosts use one upstream. Each has to count the requests of its
+  // peers, or together they would overload it.
+  void testRequestsOfPeersCount()
   {
     this->Put(1, false);
     this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 3, 0, 0 } },
@@ -149,9 +159,9 @@
     CPPUNIT_ASSERT_EQUAL(0, this->upstreams.Find({ "u" })->Outstanding());
   }
 
-  // An upstream turned slow. A host that sent it nothing lately learns it from
-  // the others and places elsewhere.
-  void testPeersTeachServiceTimes()
+  // An upstream has become slow. A host that has sent it nothing recently
+  // learns that from its peers and chooses others.
+  void testServiceTimesComeFromPeersToo()
   {
     this->Put(1, false);
     this->upstreams.OnPeerReports({ "h1" }, { { { "u" }, 0, 5, 100.0 } },
@@ -164,42 +174,46 @@
     CPPUNIT_ASSERT(this->upstreams.TakeReports().empty());
   }
 
-  // All that was ever learnt of it were the slow answers of its cold time, and
-  // the others, faster by then, had room: it got nothing once warm.
+  // All that was known of an upstream were slow responses from when it was
+  // cold, and the others were faster and had capacity: it got nothing even when
+  // it was warm.
   void testUpstreamThatWasColdIsUsedOnceWarm()
   {
     this->PutNamed("fast", milliseconds(0));
     this->PutNamed("cold", milliseconds(3000));
     this->Serve("fast", milliseconds(60));
     this->Serve("cold", milliseconds(400));
-    CPPUNIT_ASSERT_EQUAL(std::string("fast"), this->PlaceOne());
+    CPPUNIT_ASSERT_EQUAL(std::string("fast"), this->ChooseOne());
     this->now += milliseconds(3100);
     this->Serve("fast", milliseconds(60));
-    CPPUNIT_ASSERT_EQUAL(std::string("cold"), this->PlaceOne());
+    CPPUNIT_ASSERT_EQUAL(std::string("cold"), this->ChooseOne());
   }
 
-  // A shared machine was slow for some seconds; no request showed its end.
-  void testUpstreamWhoseSlowSpellEndedIsUsedAgain()
+  // A shared machine was slow for some seconds, and no request showed the end
+  // of it.
+  void testUpstreamWhoseSlowPeriodEndedIsUsedAgain()
   {
     this->PutNamed("slow", milliseconds(0));
     this->Serve("slow", milliseconds(500));
     this->ServeOthers();
-    CPPUNIT_ASSERT(this->PlaceOne() != "slow");
+    CPPUNIT_ASSERT(this->ChooseOne() != "slow");
     this->now += std::chrono::seconds(12);
     this->ServeOthers();
-    CPPUNIT_ASSERT_EQUAL(std::string("slow"), this->PlaceOne());
+    CPPUNIT_ASSERT_EQUAL(std::string("slow"), this->ChooseOne());
     this->Serve("slow", milliseconds(500));
-    CPPUNIT_ASSERT(this->PlaceOne() != "slow");
+    CPPUNIT_ASSERT(this->ChooseOne() != "slow");
   }
 
-  void testUpstreamThatJoinsIsUsedWhileFastOnesHaveRoom()
+  // An upstream without measurements must get a request although faster ones
+  // have capacity, or it would never be measured.
+  void testNewUpstreamIsUsedWhileFastOnesHaveCapacity()
   {
     this->PutNamed("fast", milliseconds(0));
     this->PutNamed("usual", milliseconds(0));
     this->Serve("fast", milliseconds(60));
     this->Serve("usual", milliseconds(100));
     this->PutNamed("new", milliseconds(0));
-    CPPUNIT_ASSERT_EQUAL(std::string("new"), this->PlaceOne());
+    CPPUNIT_ASSERT_EQUAL(std::string("new"), this->ChooseOne());
   }
 
 private:
@@ -228,14 +242,13 @@
     }
   }
 
-  std::string PlaceOne()
+  std::string ChooseOne()
   {
-    PlacementContext question;
-    question.now = this->now;
-    question.typicalMs =
-      this->upstreams.TypicalServiceMs({ "stoc" }, this->now);
+    PlacementContext context;
+    context.now = this->now;
+    context.typicalMs = this->upstreams.TypicalServiceMs({ "stoc" }, this->now);
     const UpstreamState* one =
-      ChooseUpstream(this->upstreams.ForService({ "stoc" }).inCell, question,
+      ChooseUpstream(this->upstreams.ForService({ "stoc" }).inCell, context,
                      [](std::size_t) { return std::size_t{ 0 }; });
     return one == nullptr ? std::string() : one->entry.id.value;
   }
@@ -253,10 +266,10 @@
     this->upstreams.PutEntry(entry, this->now);
   }
 
-  void Fail(AttemptResult aClass)
+  void Fail(AttemptResult aResult)
   {
     this->upstreams.OnSent({ "u" }, this->now);
-    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, aClass, {},
+    this->upstreams.OnAttemptEnded({ "u" }, this->now, 0, aResult, {},
                                    this->now);
   }
 
--- a/src/routing/upstreams.h
+++ b/src/routing/upstreams.h
@@ -1,6 +1,6 @@
-// What one host knows of the upstreams: their own entries in the store, the
-// requests that this host and its peers have running there, and how they have
-// answered lately. Decides nothing about requests; placing.h reads it.
+// What a host knows of the upstreams: their own entries in the store, the
+// requests that this host and its peers have running there, and their recent
+// responses. It decides nothing about requests; placement.h reads it.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace kumquat::routing {
 
-// What an upstream says of itself in the store.
+// An upstream's own entry in the store.
 struct UpstreamEntry
 {
   state::UpstreamId id;
@@ -28,103 +28,111 @@
   std::string address;
   state::DataCentre dataCentre;
   int slots = 1;
-  // It takes no new work and will end.
+  // It accepts no new requests and will end.
   bool leaving = false;
-  // How much longer it is cold, from when the entry was written.
+  // How much longer it was cold when the entry was written.
   std::chrono::milliseconds coldRemaining{ 0 };
-  // Unix milliseconds of its start: one life has one value. 0: not told.
+  // The upstream's start in Unix milliseconds, which tells its incarnations
+  // apart. 0 if unknown.
   std::int64_t startedMs = 0;
-  // Counts the entries that one life has written.
+  // Counts the entries that one incarnation has written.
   std::int64_t sequence = 0;
 };
 
 // What became of an entry that was read.
 enum class EntryChange
 {
-  // An earlier word of this life, or one of an older life.
+  // Ignored: the incarnation has written a later entry, or there is a later
+  // incarnation.
   kOutdated,
   kUpdated,
   kNewIncarnation,
 };
 
+// The name of the change in the log.
 std::string_view EntryChangeName(EntryChange aChange);
 
-// What an upstream adds to an answer about its own load.
+// What an upstream reports about its load with a response.
 struct UpstreamLoad
 {
   int running = 0;
   int waiting = 0;
   int slots = 0;
-  // How long work takes there now against its usual time; 1 is as usual.
+  // Time that requests take there now, relative to the typical time; 1 is
+  // typical.
   std::optional<double> slowdown;
 };
 
-// How a request ended at an upstream, as far as it tells of the upstream.
+// How an attempt ended, as far as it says something about the upstream.
 enum class AttemptResult
 {
   kServed,
-  // It said that it did not run the request.
+  // The upstream stated that it did not run the request.
   kRefused,
-  // An error of its own, a broken connection, a spoilt answer.
+  // An error of the upstream, a broken connection or an invalid response.
   kFailed,
-  // No connection was had, or none of the bytes were taken.
+  // No connection could be made, or no byte of the request was accepted.
   kUnreachable,
-  // Given up on by us; tells nothing but that it took so long.
+  // This host gave up waiting; says nothing but that the request took so long.
   kAbandoned,
-  // Never sent after all; tells nothing.
+  // The request was not sent after all; says nothing.
   kNotSent,
 };
 
-// What one host tells the others of an upstream.
+// What a host's digest reports about an upstream.
 struct UpstreamReport
 {
   state::UpstreamId id;
   int running = 0;
-  // Answered since the report before, and the mean time that they took.
+  // Responses since the previous report, and the mean time that they took.
   int answers = 0;
   double serviceMs = 0;
-  // Requests that wait at the host for this upstream alone, as it owns their
-  // keys.
+  // Requests that wait at the host for this upstream, as it owns their keys.
   int waiting = 0;
 };
 
+// What this host knows of one upstream.
 struct UpstreamState
 {
   UpstreamEntry entry;
   TimePoint coldUntil;
-  // Of those that this host's cell counts; see ServiceUpstreams. Set by the
-  // index.
+  // Whether the upstream belongs to this host's cell; see ServiceUpstreams. Set
+  // by the index.
   bool isInCell = true;
   // When each request of this host that still runs there was sent.
   std::multiset<TimePoint> running;
-  // Of all peers that were heard lately.
+  // Requests of all reachable peers that run there.
   int runningFromPeers = 0;
   // As in UpstreamReport, of this host and of its peers.
   int waiting = 0;
   int waitingAtPeers = 0;
-  // What a request takes there when it need not wait, in milliseconds; a
-  // moving average, 0 until something was learnt.
+  // What a request takes there if it need not wait, in milliseconds; a moving
+  // average, 0 while nothing is known.
   double serviceMs = 0;
-  // When it was learnt last, and whether from answers of its cold time alone.
+  // When serviceMs was updated, and whether it comes only from responses of the
+  // time when the upstream was cold.
   TimePoint measuredAt;
   bool measuredWhileCold = false;
-  // Of answers to this host that its peers have not been told of.
+  // Responses to this host that its peers have not been sent yet, and the sum
+  // of their times.
   int unreportedAnswers = 0;
   double unreportedSumMs = 0;
-  // The last figure that it told of its own pace, and when.
+  // The slowdown that it reported last, and when.
   double slowdown = 1;
   TimePoint slowdownAt;
   // Moving average of failures and refusals, 0 to 1.
   double failureShare = 0;
   int consecutiveFailures = 0;
-  // It has refused as full; a slot falls free about then.
+  // It has refused a request as full; about then a slot becomes free.
   TimePoint fullUntil;
-  // Such refusals since it last served this host.
+  // Refusals as full since it last served this host.
   int consecutiveFullRefusals = 0;
-  // Gets nothing until then, and after that one request at a time.
+  // Outlier ejection: the upstream gets no requests until then, and after that
+  // one at a time until it serves one.
   TimePoint ejectedUntil;
   std::chrono::milliseconds ejectionTime{ 0 };
-  // Its entry went while the store was in trouble; see Remove.
+  // When the upstream is removed, as its entry was removed while the store was
+  // unavailable; see RemoveEntry.
   std::optional<TimePoint> removeAt;
 
   int Outstanding() const
@@ -133,20 +141,21 @@
   }
 };
 
-// What a request takes there now, as far as is known, in milliseconds. Times of
-// a slow spell give way to the usual ones the longer nothing was heard since:
-// an upstream that gets no request could not show that the spell is over.
-double EstimatedServiceMs(const UpstreamState& aUpstream, double aUsualMs,
+// Estimates what a request takes there now, in milliseconds. A time above
+// aTypicalMs approaches it the longer nothing was measured: an upstream that
+// gets no requests could not show that its slow period is over.
+double EstimatedServiceMs(const UpstreamState& aUpstream, double aTypicalMs,
                           TimePoint aNow);
 
-// The upstreams of one service, by data centre and then in an order of no
-// meaning, so that every host lays them out alike.
+// The upstreams of one service, ordered by data centre and then by a hash of
+// the id, so that all hosts have the same order.
 struct ServiceUpstreams
 {
-  // In or out of use.
+  // Whether usable or not.
   std::vector<UpstreamState*> all;
-  // New work may be sent there. This host's cell counts what its hosts have
-  // running at the first ones; the others are those of other cells.
+  // Upstreams that new requests may be sent to. The hosts of this host's cell
+  // count their requests at the first ones; the others belong to other cells
+  // only.
   std::vector<UpstreamState*> inCell;
   std::vector<UpstreamState*> inOtherCells;
 };
@@ -155,27 +164,29 @@
 {
 public:
   Upstreams() = default;
-  // The index points into the map.
+  // Not copyable, as the index points into the map.
   Upstreams(const Upstreams&) = delete;
   Upstreams& operator=(const Upstreams&) = delete;
   Upstreams(Upstreams&&) = default;
   Upstreams& operator=(Upstreams&&) = default;
 
-  // Takes an upstream's entry. Words of one life count in the order in which
-  // they were written, and one that leaves stays so.
+  // Stores an upstream's entry. Entries of one incarnation count in the order
+  // in which they were written, and an incarnation that leaves goes on leaving.
   EntryChange PutEntry(const UpstreamEntry& aEntry, TimePoint aNow);
-  // The entry is gone. Entries also lapse because the store was away, and live
-  // upstreams are back within two seconds of its return; aGrace is how long
-  // this one may still be used, 0 where the store was well.
+  // Handles the removal of an entry from the store. Entries also expire while
+  // the store is unavailable, and live upstreams are back within two seconds of
+  // its return. aGrace is how long the upstream may still be used, 0 if the
+  // store was available.
   void RemoveEntry(const state::UpstreamId& aId, TimePoint aNow,
                    std::chrono::milliseconds aGrace);
-  // Drops what was in grace and is over.
+  // Removes the upstreams whose grace period is over.
   void RemoveExpired(TimePoint aNow);
 
+  // Sets the data centres that operators took out of service.
   void SetOutOfService(std::set<state::DataCentre> aOut);
-  // The part that this host's cell uses first.
-  void SetCellRange(const FractionRange& aSpan);
-  // All hosts that may use one upstream.
+  // Sets the part of each service's upstreams that this host's cell uses first.
+  void SetCellRange(const FractionRange& aRange);
+  // Sets the number of hosts that may use one upstream.
   void SetHostCount(std::size_t aHosts) { this->hostCount = aHosts; }
   bool IsOutOfService(const state::DataCentre& aCentre) const
   {
@@ -184,43 +195,46 @@
 
   UpstreamState* Find(const state::UpstreamId& aId);
   const UpstreamState* Find(const state::UpstreamId& aId) const;
-  // Valid until the next change of entries, places or span.
+  // Valid until the next change of entries, data centres or range.
   const ServiceUpstreams& ForService(const state::ServiceName& aService);
-  // What a request of the service takes at the mean of its upstreams, as heard
-  // lately, in milliseconds; 0 while nothing is known.
+  // What a request of the service takes at the mean of its upstreams, in
+  // milliseconds, from recent measurements if there are any; 0 while nothing is
+  // known.
   double TypicalServiceMs(const state::ServiceName& aService, TimePoint aNow);
   const std::map<state::UpstreamId, UpstreamState>& All() const
   {
     return this->upstreams;
   }
 
-  // New work may be sent there: not leaving, not gone, not in a data centre
-  // that is out.
+  // Whether new requests may be sent to the upstream: it is not leaving, and
+  // its data centre is not out of service.
   bool IsUsable(const UpstreamState& aUpstream) const
   {
     return !aUpstream.entry.leaving &&
            !this->IsOutOfService(aUpstream.entry.dataCentre);
   }
 
+  // Records the start of an attempt.
   void OnSent(const state::UpstreamId& aId, TimePoint aNow);
-  // aSent is the time given to OnSent; aWaited how many requests stood before
-  // it, those running included.
-  void OnAttemptEnded(const state::UpstreamId& aId, TimePoint aSent,
-                      int aBefore, AttemptResult aClass,
+  // Records the end of an attempt. aSent is the time that was given to OnSent,
+  // aAhead the number of requests ahead of it, running ones included.
+  void OnAttemptEnded(const state::UpstreamId& aId, TimePoint aSent, int aAhead,
+                      AttemptResult aResult,
                       const std::optional<UpstreamLoad>& aLoad, TimePoint aNow);
-  // Another upstream answers at its address.
+  // Removes the upstream, as another one responds at its address.
   void OnReplaced(const state::UpstreamId& aId, const std::string& aAddress,
                   TimePoint aNow);
 
-  // A peer's digest; what it has running takes the place of what it told
-  // before.
+  // Stores a peer's digest. The requests that it has running replace those of
+  // its previous digest.
   void OnPeerReports(const state::HostId& aPeer,
                      const std::vector<UpstreamReport>& aReports,
                      TimePoint aNow);
+  // Removes what a peer has reported as running or waiting.
   void ForgetPeer(const state::HostId& aPeer);
-  // How many requests of this host wait for each owner of keys now.
+  // Sets how many requests of this host wait for each owner of keys.
   void SetWaiting(const std::map<state::UpstreamId, int>& aWaiting);
-  // This host's own report; the next one begins anew.
+  // Returns this host's report and begins a new one.
   std::vector<UpstreamReport> TakeReports();
 
 private:
@@ -230,24 +244,24 @@
     int waiting = 0;
   };
 
-  // The last word of a life whose entry is gone.
-  struct LastWord
+  // The last entry of an incarnation that was removed.
+  struct LastEntry
   {
-    std::int64_t born = 0;
+    std::int64_t startedMs = 0;
     std::int64_t sequence = 0;
     bool leaving = false;
-    TimePoint goneAt;
+    TimePoint removedAt;
   };
 
-  void Index();
-  std::optional<LastWord> LastWordOf(const state::UpstreamId& aId) const;
-  void Forget(const state::UpstreamId& aId, TimePoint aNow);
+  void RebuildIndex();
+  std::optional<LastEntry> LastEntryOf(const state::UpstreamId& aId) const;
+  void RemoveNow(const state::UpstreamId& aId, TimePoint aNow);
 
   std::map<state::UpstreamId, UpstreamState> upstreams;
-  // Entries may be written once more after they were removed, as a write
-  // without an answer may be carried out late.
-  std::map<state::UpstreamId, LastWord> gone;
-  // Made anew when it is asked for after a change.
+  // An entry may be written once more after it was removed, since a write
+  // without a response may be carried out late.
+  std::map<state::UpstreamId, LastEntry> removed;
+  // Made again on demand after a change.
   std::map<state::ServiceName, ServiceUpstreams> byService;
   bool isIndexed = false;
   FractionRange cellRange;
--- a/src/routing/waiting.h
+++ b/src/routing/waiting.h
@@ -1,13 +1,13 @@
-// Which of a host's waiting requests goes first, and which are told at once
-// that they will not be served.
+// Decides which of a host's waiting requests goes first, and which are refused
+// at once as they will not be served.
 //
-// The load that this answers: for some seconds more requests arrive than the
-// upstreams can run. First come, first served would then make every answer
-// late, as each waits behind some that are late already. Here requests that
-// can still be answered within their target go first, by urgency and then by
-// the time that is left; late ones take what is idle; and one whose wait is
-// sure to outlast its caller is refused on arrival, so that the caller may go
-// elsewhere while there is time.
+// It serves a load where for some seconds more requests arrive than the
+// upstreams can run. First come, first served would then make every response
+// late, as each request waits behind some that are late already. Here requests
+// that can still meet their target go first, by priority and then by the time
+// of the target; late ones take what is idle; and one whose wait is certain to
+// outlast its caller is refused on arrival, so that the caller can go elsewhere
+// while there is time.
 
 #pragma once
 
@@ -20,12 +20,12 @@
 
 struct WaitingRequest
 {
-  // 0 is the most urgent.
+  // 0 is the highest priority.
   int priority = 0;
   TimePoint arrived;
-  // An answer until then is worth most.
+  // A response until then is worth most.
   TimePoint target;
-  // No answer after that is read.
+  // A response after that is not read.
   TimePoint deadline;
 };
 
@@ -35,42 +35,43 @@
 {
   // What one request takes, in milliseconds.
   double typicalMs = 100;
-  // Requests a second that this host may expect to be run of those it queues.
+  // Requests per second, of those that wait, that are expected to be run.
   double perSecond = 0;
-  // Requests of this host that wait already.
+  // Requests that wait already: those of this host for the service, or all
+  // known ones for the key's owner.
   std::size_t queued = 0;
-  // Until one more is run than those that wait, in milliseconds; 0: what
-  // perSecond says.
+  // Time for one more request after those that wait, in milliseconds; 0 if it
+  // follows from perSecond.
   double nextMs = 0;
-  // Nothing is sent before that time has passed.
+  // Nothing is sent before this time has passed.
   std::chrono::milliseconds pause{ 0 };
 };
 
-// Whether the request can still be answered within its target if it starts now.
+// Whether a response can still meet the target if the request starts now.
 bool CanMeetTarget(const WaitingRequest& aRequest, TimePoint aNow,
-                   double aUsualMs);
+                   double aTypicalMs);
 
-// Whether an answer can still reach the caller if it starts now.
+// Whether a response can still reach the caller if the request starts now.
 bool CanMeetDeadline(const WaitingRequest& aRequest, TimePoint aNow,
-                     double aUsualMs);
+                     double aTypicalMs);
 
-// Whether it should go on waiting: beyond that its answer would mostly be late,
-// and its caller is better off with a refusal in time.
+// Whether the request should go on waiting. Beyond that its response would
+// mostly be late, and an early refusal serves its caller better.
 bool IsWorthWaiting(const WaitingRequest& aRequest, TimePoint aNow,
-                    double aUsualMs);
+                    double aTypicalMs);
 
-// Whether aOne goes before aOther.
+// Whether aOne is served before aOther.
 bool IsServedBefore(const WaitingRequest& aOne, const WaitingRequest& aOther,
-                    TimePoint aNow, double aUsualMs);
+                    TimePoint aNow, double aTypicalMs);
 
 // Whether a new request should wait at all.
 bool IsWorthQueueing(const WaitingRequest& aRequest,
-                     const QueueForecast& aOutlook, TimePoint aNow);
+                     const QueueForecast& aForecast, TimePoint aNow);
 
-// When a refused caller should come back: when those that wait now will have
-// been served, spread by aSpread (0 to 1) so that refused callers do not return
-// together.
-std::chrono::milliseconds RetryAfter(const QueueForecast& aOutlook,
+// Returns when a refused caller should come back: when the requests that wait
+// now will have been served. aSpread (0 to 1) varies it, so that refused
+// callers do not return together.
+std::chrono::milliseconds RetryAfter(const QueueForecast& aForecast,
                                      double aSpread);
 
 } // namespace kumquat::routing
