--- a/src/routing/upstreams.h
+++ b/src/routing/upstreams.h
@@ -151,11 +151,10 @@
 // the id, so that all hosts have the same order.
 struct ServiceUpstreams
 {
-  // Whether usable or not.
+  // All of them, usable or not.
   std::vector<UpstreamState*> all;
-  // Upstreams that new requests may be sent to. The hosts of this host's cell
-  // count their requests at the first ones; the others belong to other cells
-  // only.
+  // Usable upstreams of this host's cell, whose hosts count their requests
+  // there, and usable upstreams that belong only to other cells.
   std::vector<UpstreamState*> inCell;
   std::vector<UpstreamState*> inOtherCells;
 };
@@ -171,7 +170,8 @@
   Upstreams& operator=(Upstreams&&) = default;
 
   // Stores an upstream's entry. Entries of one incarnation count in the order
-  // in which they were written, and an incarnation that leaves goes on leaving.
+  // in which they were written, and an incarnation that has announced that it
+  // leaves stays leaving.
   EntryChange PutEntry(const UpstreamEntry& aEntry, TimePoint aNow);
   // Handles the removal of an entry from the store. Entries also expire while
   // the store is unavailable, and live upstreams are back within two seconds of
