--- a/src/node/internal/keyedservices.cpp
+++ b/src/node/internal/keyedservices.cpp
@@ -67,10 +67,10 @@
 void KeyedServices::SetServices(const std::set<ServiceName>& aServices)
 {
   for (const ServiceName& service : aServices) {
-    Part& part = this->parts[service];
+    ServiceState& part = this->services[service];
     if (!part.assigner) {
       part.assigner = this->MakeAssigner(service);
-      part.othersTellUntil = this->hooks.now() + kOthersTell;
+      part.waitForPeersUntil = this->hooks.now() + kOthersTell;
     }
   }
 }
@@ -81,16 +81,16 @@
   ownership::Assigner::Hooks own;
   own.now = this->hooks.now;
   own.read = [this, aService](const ownership::Assigner::ReadDone& aDone) {
-    this->Read(aService, aDone);
+    this->ReadRows(aService, aDone);
   };
   own.write = [this, aService](const ownership::AssignmentWrite& aWrite,
                                ownership::Assigner::WriteDone aDone) {
-    this->Write(aService, aWrite, std::move(aDone));
+    this->WriteRows(aService, aWrite, std::move(aDone));
   };
   own.sendCommand = this->hooks.sendCommand;
-  own.candidates = [this, aService] { return this->OwnersOf(aService); };
+  own.candidates = [this, aService] { return this->CandidatesFor(aService); };
   own.peers = [this, aService] { return this->peers.ViewsOf(aService); };
-  own.publish = [this, aService] { this->Publish(aService); };
+  own.publish = [this, aService] { this->PublishMap(aService); };
   own.preference = this->hooks.preference;
   own.requestConnection = this->hooks.requestConnection;
   own.claimDelay = [this] {
@@ -104,7 +104,7 @@
     std::move(own));
 }
 
-std::vector<ownership::OwnerCandidate> KeyedServices::OwnersOf(
+std::vector<ownership::OwnerCandidate> KeyedServices::CandidatesFor(
   const ServiceName& aService)
 {
   const TimePoint now = this->hooks.now();
@@ -129,7 +129,7 @@
   return owners;
 }
 
-void KeyedServices::Read(const ServiceName& aService,
+void KeyedServices::ReadRows(const ServiceName& aService,
                          const ownership::Assigner::ReadDone& aDone)
 {
   this->hooks.read(kKeysTable, aService.value,
@@ -152,7 +152,7 @@
                    });
 }
 
-void KeyedServices::Write(const ServiceName& aService,
+void KeyedServices::WriteRows(const ServiceName& aService,
                           const ownership::AssignmentWrite& aWrite,
                           ownership::Assigner::WriteDone aDone)
 {
@@ -170,18 +170,18 @@
   this->hooks.write(write, std::move(aDone));
 }
 
-void KeyedServices::Publish(const ServiceName& aService)
+void KeyedServices::PublishMap(const ServiceName& aService)
 {
-  Part& part = this->parts.at(aService);
+  ServiceState& part = this->services.at(aService);
   const ownership::MapVersion mark = part.assigner->CurrentMapVersion();
   // The map was another host's meanwhile: what peers know is its, not what was
   // told here last.
-  if (part.map.CurrentVersion() != part.ownMark) {
-    part.toldMark = {};
+  if (part.map.CurrentVersion() != part.ownVersion) {
+    part.publishedVersion = {};
   }
   if (part.map.ReplaceIfNewer(mark, part.assigner->CurrentMap(),
                               this->hooks.now())) {
-    part.ownMark = mark;
+    part.ownVersion = mark;
     this->hooks.publishMaps();
     this->hooks.ownersChanged();
   }
@@ -191,34 +191,34 @@
 {
   const TimePoint now = this->hooks.now();
   std::vector<protocol::KeyMapUpdate> updates;
-  for (auto& [service, part] : this->parts) {
-    if (std::exchange(part.isStoredUntold, false)) {
+  for (auto& [service, part] : this->services) {
+    if (std::exchange(part.isStoredMapUnpublished, false)) {
       updates.push_back(
         ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
     }
     // Nothing new, or the map is another host's by now.
-    if (part.ownMark == part.toldMark ||
-        part.map.CurrentVersion() != part.ownMark) {
+    if (part.ownVersion == part.publishedVersion ||
+        part.map.CurrentVersion() != part.ownVersion) {
       continue;
     }
-    const bool isWhole = part.toldMark.assignmentVersion == 0;
+    const bool isWhole = part.publishedVersion.assignmentVersion == 0;
     if (isWhole) {
-      part.history.clear();
+      part.publications.clear();
     }
     protocol::KeyMapUpdate update =
-      ToWire(service, part.ownMark,
+      ToWire(service, part.ownVersion,
              isWhole ? part.map.Ranges()
-                     : ownership::ChangedRanges(part.told, part.map.Ranges()));
+                     : ownership::ChangedRanges(part.publishedRanges, part.map.Ranges()));
     if (!isWhole) {
-      update.__set_base(ToWire(service, part.toldMark));
+      update.__set_base(ToWire(service, part.publishedVersion));
     }
     updates.push_back(std::move(update));
-    part.toldMark = part.ownMark;
-    part.told = part.map.Ranges();
-    part.history.emplace_back(now, part.ownMark);
-    while (part.history.size() > 1 &&
-           now - part.history[1].first > kMissedAfter) {
-      part.history.pop_front();
+    part.publishedVersion = part.ownVersion;
+    part.publishedRanges = part.map.Ranges();
+    part.publications.emplace_back(now, part.ownVersion);
+    while (part.publications.size() > 1 &&
+           now - part.publications[1].first > kMissedAfter) {
+      part.publications.pop_front();
     }
   }
   return updates;
@@ -228,15 +228,15 @@
 // agree on an assigner, and until then every keyed request was refused, though
 // the upstreams still held their keys. A host that knows no map goes by the
 // stored holders; one that holds a key no more refuses to run its requests.
-void KeyedServices::ReadHolders(const ServiceName& aService)
+void KeyedServices::UseStoredAssignment(const ServiceName& aService)
 {
-  this->parts.at(aService).holdersDue = this->hooks.now() + kHoldersAgain;
-  this->Read(aService, [this, aService](const Result<AssignmentRows>& aStored) {
+  this->services.at(aService).storedReadDueAt = this->hooks.now() + kHoldersAgain;
+  this->ReadRows(aService, [this, aService](const Result<AssignmentRows>& aStored) {
     if (!aStored) {
       return;
     }
     // Nothing was dealt yet, and who deals it tells everyone.
-    this->parts.at(aService).holdersDue = TimePoint::max();
+    this->services.at(aService).storedReadDueAt = TimePoint::max();
     if (aStored->assignmentVersion == 0) {
       return;
     }
@@ -246,9 +246,9 @@
     }
     auto stored =
       ownership::MapFromAssignment(*assignment, aStored->assignmentVersion);
-    if (this->parts.at(aService).map.ReplaceIfNewer(
+    if (this->services.at(aService).map.ReplaceIfNewer(
           stored.version, std::move(stored.ranges), this->hooks.now())) {
-      this->parts.at(aService).isStoredUntold = this->hooks.followsStore();
+      this->services.at(aService).isStoredMapUnpublished = this->hooks.followsStore();
       this->hooks.log(aService.value, "stored-holders",
                       "no assigner was heard yet");
       this->hooks.ownersChanged();
@@ -259,11 +259,11 @@
 void KeyedServices::OnTimer()
 {
   const TimePoint now = this->hooks.now();
-  for (auto& [service, part] : this->parts) {
-    const bool isDue = now >= part.holdersDue && (now >= part.othersTellUntil ||
+  for (auto& [service, part] : this->services) {
+    const bool isDue = now >= part.storedReadDueAt && (now >= part.waitForPeersUntil ||
                                                   this->hooks.followsStore());
     if (part.map.CurrentVersion().assignmentVersion == 0 && isDue) {
-      this->ReadHolders(service);
+      this->UseStoredAssignment(service);
     }
     part.assigner->OnTimer();
   }
@@ -271,35 +271,35 @@
 
 void KeyedServices::OnUpstreamsChanged()
 {
-  for (auto& [service, part] : this->parts) {
+  for (auto& [service, part] : this->services) {
     part.assigner->OnMembershipChange();
   }
 }
 
 void KeyedServices::SetStoreAvailable(bool aWell)
 {
-  for (auto& [service, part] : this->parts) {
+  for (auto& [service, part] : this->services) {
     part.assigner->SetStoreAvailable(aWell);
   }
 }
 
 void KeyedServices::Leave()
 {
-  for (auto& [service, part] : this->parts) {
+  for (auto& [service, part] : this->services) {
     part.assigner->Leave();
   }
 }
 
 ownership::KeyMap* KeyedServices::FindMap(const ServiceName& aService)
 {
-  const auto found = this->parts.find(aService);
-  return found == this->parts.end() ? nullptr : &found->second.map;
+  const auto found = this->services.find(aService);
+  return found == this->services.end() ? nullptr : &found->second.map;
 }
 
 void KeyedServices::OnMapUpdate(const protocol::KeyMapUpdate& aUpdate)
 {
   // A peer may know of a keyed service before this host's configuration.
-  Part& part = this->parts[{ aUpdate.mark.serviceName }];
+  ServiceState& part = this->services[{ aUpdate.mark.serviceName }];
   if (!part.assigner) {
     part.assigner = this->MakeAssigner({ aUpdate.mark.serviceName });
   }
@@ -316,17 +316,17 @@
 
 void KeyedServices::OnRequest(const ServiceName& aService, ownership::Key aKey)
 {
-  const auto found = this->parts.find(aService);
-  if (found != this->parts.end() && found->second.used.size() < kMostUses) {
-    found->second.used.push_back(aKey);
+  const auto found = this->services.find(aService);
+  if (found != this->services.end() && found->second.recentKeys.size() < kMostUses) {
+    found->second.recentKeys.push_back(aKey);
   }
 }
 
 void KeyedServices::OnKeyUses(const std::vector<protocol::KeyUse>& aUses)
 {
   for (const protocol::KeyUse& use : aUses) {
-    const auto found = this->parts.find({ use.serviceName });
-    if (found == this->parts.end()) {
+    const auto found = this->services.find({ use.serviceName });
+    if (found == this->services.end()) {
       continue;
     }
     std::vector<ownership::Key> keys;
@@ -340,7 +340,7 @@
 std::vector<protocol::KeyMapMark> KeyedServices::MapVersions() const
 {
   std::vector<protocol::KeyMapMark> marks;
-  for (const auto& [service, part] : this->parts) {
+  for (const auto& [service, part] : this->services) {
     if (part.map.CurrentVersion().assignmentVersion > 0) {
       protocol::KeyMapMark mark = ToWire(service, part.map.CurrentVersion());
       mark.__set_heard(
@@ -355,45 +355,45 @@
   const state::HostId& aPeer)
 {
   std::vector<protocol::KeyUse> uses;
-  for (auto& [service, part] : this->parts) {
-    if (part.used.empty() || part.map.CurrentVersion().assigner.host != aPeer) {
+  for (auto& [service, part] : this->services) {
+    if (part.recentKeys.empty() || part.map.CurrentVersion().assigner.host != aPeer) {
       continue;
     }
     protocol::KeyUse use;
     use.__set_serviceName(service.value);
-    use.__set_keys({ part.used.begin(), part.used.end() });
-    part.used.clear();
+    use.__set_keys({ part.recentKeys.begin(), part.recentKeys.end() });
+    part.recentKeys.clear();
     uses.push_back(std::move(use));
   }
   return uses;
 }
 
-bool KeyedServices::WasToldWhole(const Part& aPart,
+bool KeyedServices::WasRecentlySentFullMap(const ServiceState& aPart,
                                  const KnownPeer& aPeer) const
 {
-  const auto whole = aPart.wholeAt.find(aPeer.host.host);
-  return whole != aPart.wholeAt.end() &&
+  const auto whole = aPart.fullMapSentAt.find(aPeer.host.host);
+  return whole != aPart.fullMapSentAt.end() &&
          this->hooks.now() - whole->second < kMissedAfter;
 }
 
-bool KeyedServices::HasNoMap(const Part& aPart, const ServiceName& aService,
+bool KeyedServices::PeerLacksMap(const ServiceState& aPart, const ServiceName& aService,
                              const KnownPeer& aPeer) const
 {
   const ownership::MapVersion& mark = aPart.map.CurrentVersion();
   return mark.assignmentVersion > 0 && mark.assigner.host.value.empty() &&
          this->hooks.followsStore() && !aPeer.maps.contains(aService) &&
-         !this->WasToldWhole(aPart, aPeer);
+         !this->WasRecentlySentFullMap(aPart, aPeer);
 }
 
-bool KeyedServices::HasMissed(const Part& aPart, const ServiceName& aService,
+bool KeyedServices::PeerMissedUpdate(const ServiceState& aPart, const ServiceName& aService,
                               const KnownPeer& aPeer) const
 {
   const TimePoint now = this->hooks.now();
-  if (aPart.history.empty() || aPart.map.CurrentVersion() != aPart.ownMark ||
-      this->WasToldWhole(aPart, aPeer)) {
+  if (aPart.publications.empty() || aPart.map.CurrentVersion() != aPart.ownVersion ||
+      this->WasRecentlySentFullMap(aPart, aPeer)) {
     return false;
   }
-  const auto& [toldAt, mark] = aPart.history.front();
+  const auto& [toldAt, mark] = aPart.publications.front();
   const auto known = aPeer.maps.find(aService);
   const bool goesByIt = known != aPeer.maps.end() &&
                         known->second.assigner == this->self &&
@@ -405,16 +405,16 @@
   const KnownPeer& aPeer)
 {
   std::vector<protocol::KeyMapUpdate> updates;
-  for (auto& [service, part] : this->parts) {
-    if (this->HasMissed(part, service, aPeer)) {
-      updates.push_back(ToWire(service, part.toldMark, part.told));
-    } else if (this->HasNoMap(part, service, aPeer)) {
+  for (auto& [service, part] : this->services) {
+    if (this->PeerMissedUpdate(part, service, aPeer)) {
+      updates.push_back(ToWire(service, part.publishedVersion, part.publishedRanges));
+    } else if (this->PeerLacksMap(part, service, aPeer)) {
       updates.push_back(
         ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
     } else {
       continue;
     }
-    part.wholeAt[aPeer.host.host] = this->hooks.now();
+    part.fullMapSentAt[aPeer.host.host] = this->hooks.now();
   }
   return updates;
 }
@@ -422,7 +422,7 @@
 std::set<state::HostId> KeyedServices::Assigners() const
 {
   std::set<state::HostId> assigners;
-  for (const auto& [service, part] : this->parts) {
+  for (const auto& [service, part] : this->services) {
     if (!part.map.CurrentVersion().assigner.host.value.empty()) {
       assigners.insert(part.map.CurrentVersion().assigner.host);
     }
@@ -432,7 +432,7 @@
 
 bool KeyedServices::IsAssigner() const
 {
-  return std::ranges::any_of(this->parts, [](const auto& aItem) {
+  return std::ranges::any_of(this->services, [](const auto& aItem) {
     return aItem.second.assigner->IsAssigner();
   });
 }
--- a/src/node/internal/keyedservices.h
+++ b/src/node/internal/keyedservices.h
@@ -81,55 +81,55 @@
   std::set<state::HostId> Assigners() const;
 
 private:
-  struct Part
+  struct ServiceState
   {
     ownership::KeyMap map;
     std::unique_ptr<ownership::Assigner> assigner;
-    std::vector<ownership::Key> used;
+    std::vector<ownership::Key> recentKeys;
     // Without a map, when the stored assignment is read next. One that leaves
     // the store to others waits for a while for these to tell.
-    TimePoint holdersDue;
-    TimePoint othersTellUntil;
+    TimePoint storedReadDueAt;
+    TimePoint waitForPeersUntil;
     // The map is that of the stored assignment, read here, and peers were not
     // told yet.
-    bool isStoredUntold = false;
+    bool isStoredMapUnpublished = false;
     // Of this host's own map.
-    ownership::MapVersion ownMark;
+    ownership::MapVersion ownVersion;
     // What peers were told last; nothing where they need the whole.
-    ownership::MapVersion toldMark;
-    std::vector<ownership::MapRange> told;
+    ownership::MapVersion publishedVersion;
+    std::vector<ownership::MapRange> publishedRanges;
     // When each mark was told, the last few.
-    std::deque<std::pair<TimePoint, ownership::MapVersion>> history;
+    std::deque<std::pair<TimePoint, ownership::MapVersion>> publications;
     // When a peer got the whole map.
-    std::map<state::HostId, TimePoint> wholeAt;
+    std::map<state::HostId, TimePoint> fullMapSentAt;
   };
 
   // Whether the peer goes by no map, and this host by that of the stored
   // assignment.
-  bool HasNoMap(const Part& aPart, const state::ServiceName& aService,
+  bool PeerLacksMap(const ServiceState& aPart, const state::ServiceName& aService,
                 const KnownPeer& aPeer) const;
-  bool WasToldWhole(const Part& aPart, const KnownPeer& aPeer) const;
-  bool HasMissed(const Part& aPart, const state::ServiceName& aService,
+  bool WasRecentlySentFullMap(const ServiceState& aPart, const KnownPeer& aPeer) const;
+  bool PeerMissedUpdate(const ServiceState& aPart, const state::ServiceName& aService,
                  const KnownPeer& aPeer) const;
 
   std::unique_ptr<ownership::Assigner> MakeAssigner(
     const state::ServiceName& aService);
-  std::vector<ownership::OwnerCandidate> OwnersOf(
+  std::vector<ownership::OwnerCandidate> CandidatesFor(
     const state::ServiceName& aService);
-  void Read(const state::ServiceName& aService,
+  void ReadRows(const state::ServiceName& aService,
             const ownership::Assigner::ReadDone& aDone);
-  void Write(const state::ServiceName& aService,
+  void WriteRows(const state::ServiceName& aService,
              const ownership::AssignmentWrite& aWrite,
              ownership::Assigner::WriteDone aDone);
-  void Publish(const state::ServiceName& aService);
-  void ReadHolders(const state::ServiceName& aService);
+  void PublishMap(const state::ServiceName& aService);
+  void UseStoredAssignment(const state::ServiceName& aService);
 
   const state::HostRef self;
   const std::chrono::milliseconds maxLease;
   routing::Upstreams& upstreams;
   const Peers& peers;
   const Hooks hooks;
-  std::map<state::ServiceName, Part> parts;
+  std::map<state::ServiceName, ServiceState> services;
 };
 
 } // namespace kumquat::node
