--- a/src/node/internal/registration.cpp
+++ b/src/node/internal/registration.cpp
@@ -71,118 +71,118 @@
 
 Registration::Registration(const HostRow& aSelf, bool aIsFirstStart,
                            Hooks aHooks)
-  : own(ToRow(aSelf))
+  : ownRow(ToRow(aSelf))
   , isFirstStart(aIsFirstStart)
   , hooks(std::move(aHooks))
   , startedAt(this->hooks.now())
-  , step(aIsFirstStart ? Step::kWrite : Step::kLook)
-  , due(this->startedAt)
+  , step(aIsFirstStart ? Step::kWriteRow : Step::kReadRows)
+  , dueAt(this->startedAt)
 {
   if (aIsFirstStart) {
-    this->due += milliseconds(RendezvousScore(aSelf.host.value, "start") %
+    this->dueAt += milliseconds(RendezvousScore(aSelf.host.value, "start") %
                               static_cast<std::uint64_t>(kSpread.count()));
   }
 }
 
 void Registration::OnTimer()
 {
-  if (this->isAsking || this->hooks.now() < this->due) {
+  if (this->isCallPending || this->hooks.now() < this->dueAt) {
     return;
   }
   switch (this->step) {
-    case Step::kWrite:
-      this->Write();
+    case Step::kWriteRow:
+      this->WriteRow();
       return;
-    case Step::kLook:
-      if (this->isEntered && this->hasLooked &&
+    case Step::kReadRows:
+      if (this->isRegistered && this->hasReadTable &&
           this->hooks.isTableFollowedByOthers()) {
-        this->Next(Step::kLook, kLookAgain);
+        this->ScheduleStep(Step::kReadRows, kLookAgain);
       } else {
-        this->Look();
+        this->ReadFirstRows();
       }
       return;
-    case Step::kRest:
+    case Step::kDone:
       return;
   }
 }
 
-void Registration::Next(Step aStep, milliseconds aPause)
+void Registration::ScheduleStep(Step aStep, milliseconds aPause)
 {
   this->step = aStep;
-  this->due = this->hooks.now() + aPause;
+  this->dueAt = this->hooks.now() + aPause;
 }
 
-void Registration::Write()
+void Registration::WriteRow()
 {
-  this->isAsking = true;
+  this->isCallPending = true;
   this->hooks.write(
-    this->own, [this](state::WriteOutcome aOutcome, state::Version) {
-      this->isAsking = false;
-      this->isEntered = aOutcome == state::WriteOutcome::kWritten;
-      if (this->isEntered && this->hasSeenFirst) {
-        this->Next(Step::kRest, milliseconds(0));
+    this->ownRow, [this](state::WriteOutcome aOutcome, state::Version) {
+      this->isCallPending = false;
+      this->isRegistered = aOutcome == state::WriteOutcome::kWritten;
+      if (this->isRegistered && this->wasReadPartial) {
+        this->ScheduleStep(Step::kDone, milliseconds(0));
         return;
       }
       // A host that looks after its own row is there finds all that were there
       // before it, and those that come later find it.
-      this->Next(Step::kLook, this->isEntered ? milliseconds(0) : kPause);
+      this->ScheduleStep(Step::kReadRows, this->isRegistered ? milliseconds(0) : kPause);
       if (this->isFirstStart) {
-        this->due = std::max(this->due, this->startedAt + kGather);
+        this->dueAt = std::max(this->dueAt, this->startedAt + kGather);
       }
       this->OnTimer();
     });
 }
 
-void Registration::Look()
+void Registration::ReadFirstRows()
 {
-  this->isAsking = true;
+  this->isCallPending = true;
   this->hooks.readFirstRows([this](const Result<state::RowsRead>& aRead) {
-    this->isAsking = false;
-    this->hasFailed = !aRead;
-    this->hasLooked |= aRead.has_value();
+    this->isCallPending = false;
+    this->hasLastReadFailed = !aRead;
+    this->hasReadTable |= aRead.has_value();
     if (!aRead) {
-      this->Next(this->step, kPause);
+      this->ScheduleStep(this->step, kPause);
       return;
     }
-    this->OnLooked(*aRead);
+    this->OnFirstRowsRead(*aRead);
     this->OnTimer();
   });
 }
 
-void Registration::OnLooked(const state::RowsRead& aRead)
+void Registration::OnFirstRowsRead(const state::RowsRead& aRead)
 {
-  this->hasSeenFirst = aRead.isPartial;
-  this->isEntered =
-    this->isEntered ||
+  this->wasReadPartial = aRead.isPartial;
+  this->isRegistered =
+    this->isRegistered ||
     std::ranges::any_of(aRead.rows, [this](const state::StoredRow& aRow) {
       return this->IsOwnRow(aRow);
     });
-  if (this->isEntered) {
+  if (this->isRegistered) {
     // Where there are more rows those who follow the table tell of new ones.
-    this->Next(aRead.isPartial ? Step::kRest : Step::kLook, kLookAgain);
+    this->ScheduleStep(aRead.isPartial ? Step::kDone : Step::kReadRows, kLookAgain);
   } else {
-    this->Next(Step::kWrite, aRead.isPartial ? kTableComes : milliseconds(0));
+    this->ScheduleStep(Step::kWriteRow, aRead.isPartial ? kTableComes : milliseconds(0));
   }
   this->hooks.firstRowsRead(aRead);
 }
 
 void Registration::OnTable(const TableReplica& aCopy)
 {
-  if (this->isEntered || this->isAsking || this->step != Step::kWrite) {
+  if (this->isRegistered || this->isCallPending || this->step != Step::kWriteRow) {
     return;
   }
-  const auto row = aCopy.rows.find(this->own.key);
+  const auto row = aCopy.rows.find(this->ownRow.key);
   if (row != aCopy.rows.end() && this->IsOwnRow(row->second)) {
-    this->isEntered = true;
-    this->Next(Step::kRest, milliseconds(0));
+    this->isRegistered = true;
+    this->ScheduleStep(Step::kDone, milliseconds(0));
   } else {
-    this->Next(Step::kWrite, milliseconds(0));
+    this->ScheduleStep(Step::kWriteRow, milliseconds(0));
   }
 }
 
 bool Registration::IsOwnRow(const state::StoredRow& aRow) const
 {
-  return aRow.key == this->own.key && aRow.value == this->own.value;
+  return aRow.key == this->ownRow.key && aRow.value == this->ownRow.value;
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/registration.h
+++ b/src/node/internal/registration.h
@@ -59,37 +59,37 @@
   void OnTable(const TableReplica& aCopy);
 
   // The store has told who is there, once; its last answer about it failed.
-  bool HasReadTable() const { return this->hasLooked; }
-  bool HasLastReadFailed() const { return this->hasFailed; }
+  bool HasReadTable() const { return this->hasReadTable; }
+  bool HasLastReadFailed() const { return this->hasLastReadFailed; }
 
 private:
   enum class Step
   {
-    kWrite,
-    kLook,
-    kRest,
+    kWriteRow,
+    kReadRows,
+    kDone,
   };
 
-  void Write();
-  void Look();
-  void OnLooked(const state::RowsRead& aRead);
+  void WriteRow();
+  void ReadFirstRows();
+  void OnFirstRowsRead(const state::RowsRead& aRead);
   bool IsOwnRow(const state::StoredRow& aRow) const;
-  void Next(Step aStep, std::chrono::milliseconds aPause);
+  void ScheduleStep(Step aStep, std::chrono::milliseconds aPause);
 
-  const state::StoredRow own;
+  const state::StoredRow ownRow;
   const bool isFirstStart;
   const Hooks hooks;
   const TimePoint startedAt;
   Step step;
-  TimePoint due;
+  TimePoint dueAt;
   // A call is under way.
-  bool isAsking = false;
+  bool isCallPending = false;
   // The row is in the table as it should be.
-  bool isEntered = false;
+  bool isRegistered = false;
   // The table was read, and holds more than its first rows.
-  bool hasSeenFirst = false;
-  bool hasLooked = false;
-  bool hasFailed = false;
+  bool wasReadPartial = false;
+  bool hasReadTable = false;
+  bool hasLastReadFailed = false;
 };
 
 } // namespace kumquat::node
