--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -233,7 +233,7 @@
   };
   return TakeListener(
     transport::PeerNetwork::Listen(this->serving.Context(), std::move(options)),
-    this->network);
+    this->peerNetwork);
 }
 
 routing::Dispatcher::Hooks Gateway::Impl::DispatcherHooks()
@@ -245,11 +245,11 @@
                                                       aBelow - 1)(this->random);
   };
   hooks.send = [this](const routing::UpstreamRequest& aSend) {
-    this->SendUpstream(aSend);
+    this->SendToUpstream(aSend);
   };
   hooks.cancel = [this](routing::RequestNumber aNumber) {
-    const auto call = this->calls.find(aNumber);
-    if (call != this->calls.end()) {
+    const auto call = this->upstreamCalls.find(aNumber);
+    if (call != this->upstreamCalls.end()) {
       this->upstreamClient->Cancel(call->second);
     }
   };
@@ -358,7 +358,7 @@
   this->ScheduleDispatcher();
 }
 
-void Gateway::Impl::SendUpstream(const routing::UpstreamRequest& aSend)
+void Gateway::Impl::SendToUpstream(const routing::UpstreamRequest& aSend)
 {
   const routing::RequestNumber number = aSend.number;
   HttpRequest request = platform::MakeUpstreamRequest(aSend);
@@ -372,7 +372,7 @@
           aAnswer.error() == transport::TransportError::kCancelled) {
         return;
       }
-      this->calls.erase(number);
+      this->upstreamCalls.erase(number);
       if (aAnswer) {
         this->dispatcher->OnUpstreamResponse(
           number, platform::ParseUpstreamResponse(std::move(*aAnswer)));
@@ -383,7 +383,7 @@
       }
       this->ScheduleDispatcher();
     });
-  this->calls[number] = call;
+  this->upstreamCalls[number] = call;
 }
 
 void Gateway::Impl::SendLeaseCommand(const ownership::LeaseCommand& aOrder,
@@ -408,7 +408,7 @@
 
 void Gateway::Impl::OnRequestEnded(const routing::RequestTrace& aTrace)
 {
-  this->calls.erase(aTrace.number);
+  this->upstreamCalls.erase(aTrace.number);
   if (aTrace.error == ErrorKind::kNone) {
     this->answeredRequests.Add();
     Summary*& summary = this->latencies[aTrace.service];
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -62,7 +62,7 @@
   // Serving thread.
   void OnCallerRequest(transport::HttpRequest&& aRequest,
                        const transport::HttpServer::Respond& aRespond);
-  void SendUpstream(const routing::UpstreamRequest& aSend);
+  void SendToUpstream(const routing::UpstreamRequest& aSend);
   void SendLeaseCommand(const ownership::LeaseCommand& aOrder,
                         ownership::Assigner::CommandDone aDone);
   void OnRequestEnded(const routing::RequestTrace& aTrace);
@@ -129,9 +129,9 @@
   ServerPtr metricsServer;
   std::unique_ptr<transport::HttpClient> upstreamClient;
   std::unique_ptr<transport::HttpClient> leaseClient;
-  std::unique_ptr<transport::PeerNetwork> network;
+  std::unique_ptr<transport::PeerNetwork> peerNetwork;
   std::unordered_map<routing::RequestNumber, transport::HttpClient::CallId>
-    calls;
+    upstreamCalls;
   boost::asio::steady_timer tick;
   boost::asio::steady_timer dispatchTimer;
   TimePoint dispatchDueAt = TimePoint::max();
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -155,10 +155,10 @@
   const PeerTopology::ConnectionChanges dials =
     this->topology.TakeConnectionChanges();
   for (const auto& [host, address] : dials.toOpen) {
-    this->network->SetAddress(host.value, address);
+    this->peerNetwork->SetAddress(host.value, address);
   }
   for (const state::HostId& host : dials.toClose) {
-    this->network->StopDialling(host.value);
+    this->peerNetwork->StopDialling(host.value);
   }
 }
 
@@ -197,7 +197,7 @@
   for (const auto& update : this->keyedServices->TakeFullMapsFor(peer)) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
-    static_cast<void>(this->network->Send(id.value, frame));
+    static_cast<void>(this->peerNetwork->Send(id.value, frame));
   }
 }
 
@@ -227,7 +227,7 @@
   for (const state::HostId& silent : this->peers.TakeNewlySilent()) {
     this->upstreams.ForgetPeer(silent);
     // A connection that went silent stays so; a new one may work.
-    this->network->Close(silent.value);
+    this->peerNetwork->Close(silent.value);
   }
   const std::vector<state::HostId> live = this->LiveCellMembers();
   const bool divided = this->topology.Cells().IsDivided();
@@ -265,7 +265,7 @@
   for (const auto& update : this->keyedServices->TakeMapUpdates()) {
     protocol::Frame frame;
     frame.__set_keyMapUpdate(update);
-    this->network->SendToAll(all, frame);
+    this->peerNetwork->SendToAll(all, frame);
   }
 }
 
@@ -321,12 +321,12 @@
     }
     frame.__set_hostDigest(aDigest);
     frame.hostDigest.__set_keyUses(uses);
-    static_cast<void>(this->network->Send(aHost, frame));
+    static_cast<void>(this->peerNetwork->Send(aHost, frame));
     return true;
   });
   aDigest.keyUses.clear();
   frame.__set_hostDigest(aDigest);
-  this->network->SendToAll(aHosts, frame);
+  this->peerNetwork->SendToAll(aHosts, frame);
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -23,11 +23,11 @@
   TableReplication::Hooks hooks;
   hooks.now = BootTime;
   hooks.send = [this](const std::string& aTo, const protocol::Frame& aFrame) {
-    static_cast<void>(this->network->Send(aTo, aFrame));
+    static_cast<void>(this->peerNetwork->Send(aTo, aFrame));
   };
   hooks.sendToAll = [this](const std::vector<std::string>& aHosts,
                            const protocol::Frame& aFrame) {
-    this->network->SendToAll(aHosts, aFrame);
+    this->peerNetwork->SendToAll(aHosts, aFrame);
   };
   hooks.follow = [this](const FollowedTables& aTables, bool aIsStandIn) {
     this->storeClient->Follow(aTables, aIsStandIn);
--- a/src/node/internal/nodehooks.cpp
+++ b/src/node/internal/nodehooks.cpp
@@ -36,7 +36,7 @@
   hooks.sendUpstream = [this](UpstreamCall aCall) {
     const RequestId id = aCall.id;
     Task task = [this, call = std::move(aCall)]() mutable {
-      this->SendUpstream(std::move(call));
+      this->SendToUpstream(std::move(call));
     };
     if (this->upstreams.TryHand(task)) {
       return;
@@ -49,8 +49,8 @@
   };
   hooks.cancelUpstream = [this](RequestId aId) {
     Task task = [this, aId] {
-      const auto found = this->clientCalls.find(aId);
-      if (found != this->clientCalls.end()) {
+      const auto found = this->upstreamCalls.find(aId);
+      if (found != this->upstreamCalls.end()) {
         this->upstreamClient->Cancel(found->second);
       }
     };
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -323,16 +323,16 @@
   static_cast<void>(this->peerNetwork->Send(aFrom.host, frame));
 }
 
-void Node::Impl::SendUpstream(UpstreamCall&& aCall)
+void Node::Impl::SendToUpstream(UpstreamCall&& aCall)
 {
   const RequestId id = aCall.id;
   const auto call = this->upstreamClient->Send(
     aCall.address, std::move(aCall.request), aCall.timeout,
     [this, id](Result<HttpResponse> aAnswer) {
-      this->clientCalls.erase(id);
+      this->upstreamCalls.erase(id);
       this->OnUpstreamAnswer(id, std::move(aAnswer));
     });
-  this->clientCalls.emplace(id, call);
+  this->upstreamCalls.emplace(id, call);
 }
 
 void Node::Impl::OnUpstreamAnswer(RequestId aId, Result<HttpResponse> aAnswer)
--- a/src/node/internal/nodeimpl.h
+++ b/src/node/internal/nodeimpl.h
@@ -67,7 +67,7 @@
                                       transport::HttpResponse&& aResponse);
 
   // Upstreams' thread.
-  void SendUpstream(coordination::UpstreamCall&& aCall);
+  void SendToUpstream(coordination::UpstreamCall&& aCall);
   void OnUpstreamAnswer(coordination::RequestId aId,
                         Result<transport::HttpResponse> aAnswer);
   transport::BodyReader ReadBodyOnUpstreams(coordination::RequestId aId,
@@ -125,7 +125,7 @@
   std::unique_ptr<state::EndpointListClient> endpointListClient;
   // By the core's number of the request: the client's. Upstreams' thread.
   std::unordered_map<coordination::RequestId, transport::HttpClient::CallId>
-    clientCalls;
+    upstreamCalls;
 
   std::unique_ptr<coordination::Router> router;
   std::unique_ptr<state::ConfigurationWriter> configurationWriter;
