--- a/src/node/internal/keyedservices.cpp
+++ b/src/node/internal/keyedservices.cpp
@@ -130,7 +130,7 @@
 }
 
 void KeyedServices::ReadRows(const ServiceName& aService,
-                         const ownership::Assigner::ReadDone& aDone)
+                             const ownership::Assigner::ReadDone& aDone)
 {
   this->hooks.read(kKeysTable, aService.value,
                    [aDone](Result<state::RowsRead> aRead) {
@@ -153,8 +153,8 @@
 }
 
 void KeyedServices::WriteRows(const ServiceName& aService,
-                          const ownership::AssignmentWrite& aWrite,
-                          ownership::Assigner::WriteDone aDone)
+                              const ownership::AssignmentWrite& aWrite,
+                              ownership::Assigner::WriteDone aDone)
 {
   state::RowsWrite write;
   write.part = aService.value;
@@ -208,7 +208,8 @@
     protocol::KeyMapUpdate update =
       ToWire(service, part.ownVersion,
              isWhole ? part.map.Ranges()
-                     : ownership::ChangedRanges(part.publishedRanges, part.map.Ranges()));
+                     : ownership::ChangedRanges(part.publishedRanges,
+                                                part.map.Ranges()));
     if (!isWhole) {
       update.__set_base(ToWire(service, part.publishedVersion));
     }
@@ -230,8 +231,10 @@
 // stored holders; one that holds a key no more refuses to run its requests.
 void KeyedServices::UseStoredAssignment(const ServiceName& aService)
 {
-  this->services.at(aService).storedReadDueAt = this->hooks.now() + kHoldersAgain;
-  this->ReadRows(aService, [this, aService](const Result<AssignmentRows>& aStored) {
+  this->services.at(aService).storedReadDueAt =
+    this->hooks.now() + kHoldersAgain;
+  this->ReadRows(aService, [this,
+                            aService](const Result<AssignmentRows>& aStored) {
     if (!aStored) {
       return;
     }
@@ -248,7 +251,8 @@
       ownership::MapFromAssignment(*assignment, aStored->assignmentVersion);
     if (this->services.at(aService).map.ReplaceIfNewer(
           stored.version, std::move(stored.ranges), this->hooks.now())) {
-      this->services.at(aService).isStoredMapUnpublished = this->hooks.followsStore();
+      this->services.at(aService).isStoredMapUnpublished =
+        this->hooks.followsStore();
       this->hooks.log(aService.value, "stored-holders",
                       "no assigner was heard yet");
       this->hooks.ownersChanged();
@@ -260,8 +264,9 @@
 {
   const TimePoint now = this->hooks.now();
   for (auto& [service, part] : this->services) {
-    const bool isDue = now >= part.storedReadDueAt && (now >= part.waitForPeersUntil ||
-                                                  this->hooks.followsStore());
+    const bool isDue =
+      now >= part.storedReadDueAt &&
+      (now >= part.waitForPeersUntil || this->hooks.followsStore());
     if (part.map.CurrentVersion().assignmentVersion == 0 && isDue) {
       this->UseStoredAssignment(service);
     }
@@ -317,7 +322,8 @@
 void KeyedServices::OnRequest(const ServiceName& aService, ownership::Key aKey)
 {
   const auto found = this->services.find(aService);
-  if (found != this->services.end() && found->second.recentKeys.size() < kMostUses) {
+  if (found != this->services.end() &&
+      found->second.recentKeys.size() < kMostUses) {
     found->second.recentKeys.push_back(aKey);
   }
 }
@@ -356,7 +362,8 @@
 {
   std::vector<protocol::KeyUse> uses;
   for (auto& [service, part] : this->services) {
-    if (part.recentKeys.empty() || part.map.CurrentVersion().assigner.host != aPeer) {
+    if (part.recentKeys.empty() ||
+        part.map.CurrentVersion().assigner.host != aPeer) {
       continue;
     }
     protocol::KeyUse use;
@@ -369,15 +376,16 @@
 }
 
 bool KeyedServices::WasRecentlySentFullMap(const ServiceState& aPart,
-                                 const KnownPeer& aPeer) const
+                                           const KnownPeer& aPeer) const
 {
   const auto whole = aPart.fullMapSentAt.find(aPeer.host.host);
   return whole != aPart.fullMapSentAt.end() &&
          this->hooks.now() - whole->second < kMissedAfter;
 }
 
-bool KeyedServices::PeerLacksMap(const ServiceState& aPart, const ServiceName& aService,
-                             const KnownPeer& aPeer) const
+bool KeyedServices::PeerLacksMap(const ServiceState& aPart,
+                                 const ServiceName& aService,
+                                 const KnownPeer& aPeer) const
 {
   const ownership::MapVersion& mark = aPart.map.CurrentVersion();
   return mark.assignmentVersion > 0 && mark.assigner.host.value.empty() &&
@@ -385,11 +393,13 @@
          !this->WasRecentlySentFullMap(aPart, aPeer);
 }
 
-bool KeyedServices::PeerMissedUpdate(const ServiceState& aPart, const ServiceName& aService,
-                              const KnownPeer& aPeer) const
+bool KeyedServices::PeerMissedUpdate(const ServiceState& aPart,
+                                     const ServiceName& aService,
+                                     const KnownPeer& aPeer) const
 {
   const TimePoint now = this->hooks.now();
-  if (aPart.publications.empty() || aPart.map.CurrentVersion() != aPart.ownVersion ||
+  if (aPart.publications.empty() ||
+      aPart.map.CurrentVersion() != aPart.ownVersion ||
       this->WasRecentlySentFullMap(aPart, aPeer)) {
     return false;
   }
@@ -407,7 +417,8 @@
   std::vector<protocol::KeyMapUpdate> updates;
   for (auto& [service, part] : this->services) {
     if (this->PeerMissedUpdate(part, service, aPeer)) {
-      updates.push_back(ToWire(service, part.publishedVersion, part.publishedRanges));
+      updates.push_back(
+        ToWire(service, part.publishedVersion, part.publishedRanges));
     } else if (this->PeerLacksMap(part, service, aPeer)) {
       updates.push_back(
         ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
--- a/src/node/internal/keyedservices.h
+++ b/src/node/internal/keyedservices.h
@@ -106,21 +106,24 @@
 
   // Whether the peer goes by no map, and this host by that of the stored
   // assignment.
-  bool PeerLacksMap(const ServiceState& aPart, const state::ServiceName& aService,
-                const KnownPeer& aPeer) const;
-  bool WasRecentlySentFullMap(const ServiceState& aPart, const KnownPeer& aPeer) const;
-  bool PeerMissedUpdate(const ServiceState& aPart, const state::ServiceName& aService,
-                 const KnownPeer& aPeer) const;
+  bool PeerLacksMap(const ServiceState& aPart,
+                    const state::ServiceName& aService,
+                    const KnownPeer& aPeer) const;
+  bool WasRecentlySentFullMap(const ServiceState& aPart,
+                              const KnownPeer& aPeer) const;
+  bool PeerMissedUpdate(const ServiceState& aPart,
+                        const state::ServiceName& aService,
+                        const KnownPeer& aPeer) const;
 
   std::unique_ptr<ownership::Assigner> MakeAssigner(
     const state::ServiceName& aService);
   std::vector<ownership::OwnerCandidate> CandidatesFor(
     const state::ServiceName& aService);
   void ReadRows(const state::ServiceName& aService,
-            const ownership::Assigner::ReadDone& aDone);
+                const ownership::Assigner::ReadDone& aDone);
   void WriteRows(const state::ServiceName& aService,
-             const ownership::AssignmentWrite& aWrite,
-             ownership::Assigner::WriteDone aDone);
+                 const ownership::AssignmentWrite& aWrite,
+                 ownership::Assigner::WriteDone aDone);
   void PublishMap(const state::ServiceName& aService);
   void UseStoredAssignment(const state::ServiceName& aService);
 
--- a/src/node/internal/registration.cpp
+++ b/src/node/internal/registration.cpp
@@ -80,7 +80,7 @@
 {
   if (aIsFirstStart) {
     this->dueAt += milliseconds(RendezvousScore(aSelf.host.value, "start") %
-                              static_cast<std::uint64_t>(kSpread.count()));
+                                static_cast<std::uint64_t>(kSpread.count()));
   }
 }
 
@@ -125,7 +125,8 @@
       }
       // A host that looks after its own row is there finds all that were there
       // before it, and those that come later find it.
-      this->ScheduleStep(Step::kReadRows, this->isRegistered ? milliseconds(0) : kPause);
+      this->ScheduleStep(Step::kReadRows,
+                         this->isRegistered ? milliseconds(0) : kPause);
       if (this->isFirstStart) {
         this->dueAt = std::max(this->dueAt, this->startedAt + kGather);
       }
@@ -159,16 +160,19 @@
     });
   if (this->isRegistered) {
     // Where there are more rows those who follow the table tell of new ones.
-    this->ScheduleStep(aRead.isPartial ? Step::kDone : Step::kReadRows, kLookAgain);
+    this->ScheduleStep(aRead.isPartial ? Step::kDone : Step::kReadRows,
+                       kLookAgain);
   } else {
-    this->ScheduleStep(Step::kWriteRow, aRead.isPartial ? kTableComes : milliseconds(0));
+    this->ScheduleStep(Step::kWriteRow,
+                       aRead.isPartial ? kTableComes : milliseconds(0));
   }
   this->hooks.firstRowsRead(aRead);
 }
 
 void Registration::OnTable(const TableReplica& aCopy)
 {
-  if (this->isRegistered || this->isCallPending || this->step != Step::kWriteRow) {
+  if (this->isRegistered || this->isCallPending ||
+      this->step != Step::kWriteRow) {
     return;
   }
   const auto row = aCopy.rows.find(this->ownRow.key);
