--- a/src/node/callerhttp.h
+++ b/src/node/callerhttp.h
@@ -1,5 +1,5 @@
-// Between callers' HTTP and the core's requests: headers in, answers out. See
-// docs/CALLERS.md.
+// Converts callers' HTTP requests to coordination's requests, and its results
+// to HTTP responses. See docs/CALLERS.md.
 
 #pragma once
 
@@ -10,15 +10,18 @@
 
 namespace kumquat::node {
 
-// kMalformedRequest where a header that steers the request cannot be read.
+// aNow: arrival, from which the deadline counts. Returns kMalformedRequest if
+// Kumquat-Deadline-Ms is not a positive number.
 Result<coordination::CallerRequest> ToCallerRequest(
   transport::HttpRequest&& aRequest, TimePoint aNow);
 
+// The upstream's response, or an error response for the result's error kind.
 transport::HttpResponse ToHttpResponse(coordination::RequestResult&& aResult);
 
+// A response with the error's status, headers and JSON body.
 transport::HttpResponse MakeErrorResponse(protocol::ErrorKind aKind);
 
-// For requests that the HTTP server itself refuses.
+// The error kind of a request that the HTTP server refused itself.
 protocol::ErrorKind ErrorKindOf(transport::ServerRefusal aRefusal);
 
 } // namespace kumquat::node
--- a/src/node/gateway.h
+++ b/src/node/gateway.h
@@ -1,6 +1,6 @@
-// One host of a platform that keeps versioned rows: callers' requests go from
-// here straight to the upstreams, and the store has all that must last. Every
-// host runs the same; none is set aside for control.
+// A host on a platform whose store keeps versioned rows. It forwards callers'
+// requests directly to the upstreams and keeps all durable state in the store.
+// All hosts run the same code; there is no separate control plane.
 
 #pragma once
 
@@ -15,25 +15,27 @@
 class Gateway
 {
 public:
-  // Listens and starts its threads; the error says that an address could not
-  // be had.
+  // Listens on all addresses and starts the threads. Returns an error if it
+  // can't listen on an address.
   static Result<std::unique_ptr<Gateway>> Start(
     const state::GatewaySettings& aSettings);
 
-  // Stops at once; see Stop for a planned stop.
+  // Stops immediately, without waiting for running requests; see Stop for a
+  // planned stop.
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Newer settings; within a run only the grace changes. This, the next and
-  // Stop are for one thread.
+  // Applies reloaded settings. Only the grace period can change while the host
+  // runs. Reload, OnReloadFailed and Stop must be called from one thread.
   void Reload(const state::GatewaySettings& aSettings);
-  // The text that was to be reloaded is not sound; the settings stay.
-  void OnReloadFailed(const std::string& aFault);
+  // Logs that the settings to be reloaded are invalid; the old ones stay in
+  // force.
+  void OnReloadFailed(const std::string& aError);
 
-  // A planned stop: takes no new callers, answers what is there, and returns
-  // when nothing is left or the grace is nearly over. False where requests
-  // were left.
+  // Performs a planned stop: accepts no new callers, responds to the requests
+  // it has, and returns when none is left or the grace period is nearly over.
+  // False if requests were left.
   bool Stop();
 
 private:
--- a/src/node/internal/callerhttp.cpp
+++ b/src/node/internal/callerhttp.cpp
@@ -1,4 +1,4 @@
-// Callers' headers, and the answers in JSON.
+// Reads and filters callers' headers, and builds JSON error responses.
 
 #include "node/callerhttp.h"
 
@@ -23,11 +23,13 @@
 
 namespace {
 
-// The service's own deadline bounds it; see Router::OnCallerRequest.
-constexpr milliseconds kLongestDeadline{ 3'600'000 };
+// The service's configured deadline limits it further; see
+// Router::OnCallerRequest.
+constexpr milliseconds kMaxDeadline{ 3'600'000 };
 
-// Belong to one connection, or are made anew for the next one.
-constexpr std::array<std::string_view, 14> kNotPassedOn = {
+// Headers that are not forwarded: they apply to one connection, are set again
+// for the next one, or are meant for the host.
+constexpr std::array<std::string_view, 14> kNotForwarded = {
   "Connection",
   "Keep-Alive",
   "Proxy-Authenticate",
@@ -44,31 +46,33 @@
   "Kumquat-Deadline-Ms"
 };
 
-// What only stewards may say to an upstream, and upstreams to a steward.
-constexpr std::array<std::string_view, 7> kInternal = {
+// Headers between upstreams and their steward, the host that controls them.
+// They are never taken from callers nor passed to them.
+constexpr std::array<std::string_view, 7> kStewardHeaders = {
   "Kumquat-Request-Id", "Kumquat-Epoch", "Kumquat-Slice-Epoch",
   "Kumquat-Steward",    "Kumquat-State", "Kumquat-Incarnation",
   "Kumquat-Outcome"
 };
 
-bool IsIn(const auto& aNames, std::string_view aName)
+bool ContainsName(const auto& aNames, std::string_view aName)
 {
-  return std::ranges::any_of(aNames, [aName](std::string_view aOne) {
-    return boost::beast::iequals(aOne, aName);
+  return std::ranges::any_of(aNames, [aName](std::string_view aOther) {
+    return boost::beast::iequals(aOther, aName);
   });
 }
 
-void KeepEndToEnd(std::vector<HttpHeader>& aHeaders)
+void RemoveNonForwardedHeaders(std::vector<HttpHeader>& aHeaders)
 {
   std::erase_if(aHeaders, [](const HttpHeader& aHeader) {
-    return IsIn(kNotPassedOn, aHeader.name) || IsIn(kInternal, aHeader.name);
+    return ContainsName(kNotForwarded, aHeader.name) ||
+           ContainsName(kStewardHeaders, aHeader.name);
   });
 }
 
 Result<milliseconds> ParseDeadline(std::string_view aText)
 {
   if (aText.empty()) {
-    return kLongestDeadline;
+    return kMaxDeadline;
   }
   std::int64_t count = 0;
   const char* end = aText.data() + aText.size();
@@ -77,10 +81,11 @@
   if (!whole || count <= 0) {
     return make_error_code(ErrorKind::kMalformedRequest);
   }
-  return std::min(milliseconds(count), kLongestDeadline);
+  return std::min(milliseconds(count), kMaxDeadline);
 }
 
-std::string InSeconds(milliseconds aTime)
+// Rounded up; at least one second.
+std::string ToSeconds(milliseconds aTime)
 {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(aTime);
   return std::to_string(std::max<std::int64_t>(1, seconds.count()));
@@ -104,7 +109,7 @@
   request.target = std::move(aRequest.target);
   request.body = std::move(aRequest.body);
   request.headers = std::move(aRequest.headers);
-  KeepEndToEnd(request.headers);
+  RemoveNonForwardedHeaders(request.headers);
   return request;
 }
 
@@ -112,7 +117,7 @@
 {
   if (aResult.error == ErrorKind::kNone) {
     HttpResponse response = std::move(aResult.response);
-    KeepEndToEnd(response.headers);
+    RemoveNonForwardedHeaders(response.headers);
     response.headers.push_back({ "Kumquat-Outcome", "ran" });
     return response;
   }
@@ -122,26 +127,25 @@
       return aHeader.name == "Retry-After";
     });
     response.headers.push_back(
-      { "Retry-After", InSeconds(*aResult.retryAfter) });
+      { "Retry-After", ToSeconds(*aResult.retryAfter) });
   }
   return response;
 }
 
 HttpResponse MakeErrorResponse(ErrorKind aKind)
 {
-  const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aKind);
-  const std::string outcome(protocol::OutcomeName(answer.outcome));
+  const protocol::ErrorInfo& info = protocol::ErrorInfoFor(aKind);
+  const std::string outcome(protocol::OutcomeName(info.outcome));
   HttpResponse response;
-  response.status = answer.httpStatus;
+  response.status = info.httpStatus;
   response.headers = { { "Content-Type", "application/json" },
-                       { "Kumquat-Error", std::string(answer.name) },
+                       { "Kumquat-Error", std::string(info.name) },
                        { "Kumquat-Outcome", outcome } };
-  if (answer.retryAfter) {
-    response.headers.push_back(
-      { "Retry-After", InSeconds(*answer.retryAfter) });
+  if (info.retryAfter) {
+    response.headers.push_back({ "Retry-After", ToSeconds(*info.retryAfter) });
   }
   response.body =
-    nlohmann::json{ { "error", answer.name }, { "outcome", outcome } }.dump() +
+    nlohmann::json{ { "error", info.name }, { "outcome", outcome } }.dump() +
     "\n";
   return response;
 }
--- a/src/node/internal/clocks.h
+++ b/src/node/internal/clocks.h
@@ -9,13 +9,15 @@
 
 namespace kumquat::node {
 
+// The steady clock. It does not count time while the host was suspended; see
+// BootTime.
 inline TimePoint Now()
 {
   return std::chrono::steady_clock::now();
 }
 
-// Counts the time that the host was suspended, which the steady clock does not:
-// what expires by this clock has expired for others too.
+// Also counts the time while the host was suspended, which the steady clock
+// does not: what has expired by this clock has expired for other hosts too.
 inline TimePoint BootTime()
 {
   timespec time{};
@@ -24,7 +26,7 @@
                    std::chrono::nanoseconds(time.tv_nsec));
 }
 
-// Since 1970; may jump.
+// Time since 1970; it may jump when the system clock is set.
 inline std::chrono::milliseconds UnixTime()
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/node/internal/gateway.cpp
+++ b/src/node/internal/gateway.cpp
@@ -1,4 +1,4 @@
-// The public face of a gateway.
+// Forwards the public interface of a gateway to its implementation.
 
 #include "node/gateway.h"
 
@@ -30,9 +30,9 @@
   this->impl->Reload(aSettings);
 }
 
-void Gateway::OnReloadFailed(const std::string& aFault)
+void Gateway::OnReloadFailed(const std::string& aError)
 {
-  this->impl->OnReloadFailed(aFault);
+  this->impl->OnReloadFailed(aError);
 }
 
 bool Gateway::Stop()
--- a/src/node/internal/listenerhelpers.h
+++ b/src/node/internal/listenerhelpers.h
@@ -1,4 +1,4 @@
-// Small things that both kinds of host need at their listeners.
+// Helper functions for the listeners of both kinds of host, Gateway and Node.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace kumquat::node {
 
-// "10.0.0.1" of "10.0.0.1:80".
+// The IP number of an "ip:port" address: "10.0.0.1" of "10.0.0.1:80".
 inline std::string IpOf(const std::string& aAddress)
 {
   return aAddress.substr(0, aAddress.rfind(':'));
@@ -30,7 +30,7 @@
   return response;
 }
 
-// What a host says first on each connection to another.
+// The first message that a host sends on each connection to a peer.
 inline protocol::Hello MakeHello(const state::HostRef& aSelf,
                                  const state::DataCentre& aDataCentre)
 {
@@ -41,15 +41,15 @@
   return hello;
 }
 
-// Keeps what listens; else says why it cannot.
+// Moves the listener to aTarget if it was created; returns the error otherwise.
 template<typename Listener>
-std::error_code TakeListener(Result<std::unique_ptr<Listener>> aListening,
-                             std::unique_ptr<Listener>& aPlace)
+std::error_code TakeListener(Result<std::unique_ptr<Listener>> aListener,
+                             std::unique_ptr<Listener>& aTarget)
 {
-  if (!aListening) {
-    return aListening.error();
+  if (!aListener) {
+    return aListener.error();
   }
-  aPlace = std::move(*aListening);
+  aTarget = std::move(*aListener);
   return {};
 }
 
--- a/src/node/internal/node.cpp
+++ b/src/node/internal/node.cpp
@@ -1,4 +1,4 @@
-// The host's public face.
+// Forwards the public interface of a node to its implementation.
 
 #include "node/node.h"
 
@@ -25,9 +25,9 @@
   return std::unique_ptr<Node>(new Node(std::move(impl)));
 }
 
-bool Node::Stop(std::chrono::milliseconds aMost)
+bool Node::Stop(std::chrono::milliseconds aTimeout)
 {
-  return this->impl->Stop(aMost);
+  return this->impl->Stop(aTimeout);
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/registration.cpp
+++ b/src/node/internal/registration.cpp
@@ -1,4 +1,5 @@
-// Steps of a host's registration.
+// The steps by which a host registers itself: read the first rows, write its
+// own row.
 
 #include "node/internal/registration.h"
 
@@ -19,37 +20,40 @@
 
 namespace {
 
-// After a call that failed.
-constexpr milliseconds kPause{ 500 };
-// Of hosts that all start for the first time, some hundred: rows of one part of
-// the store are written one after the other, and what waits there for over a
-// second is refused.
-constexpr milliseconds kSpread{ 700 };
-// From the start; most rows are there by then.
-constexpr milliseconds kGather{ 1200 };
-// The whole table comes from a peer within this time, or the row is written
-// without it.
-constexpr milliseconds kTableComes{ 1500 };
-// A peer that neither side knows of any more is found then.
-constexpr milliseconds kLookAgain{ 30'000 };
-
-constexpr long kMostMilliprocessors = 9'999'999;
-constexpr std::uint64_t kOrders = 0x10000;
+// Pause after a call to the store that failed.
+constexpr milliseconds kRetryPause{ 500 };
+// Hosts that all start for the first time spread their writes over this time.
+// The store writes the rows of one partition one after the other and rejects a
+// write that has waited for over a second, which happens with some hundred
+// hosts at once.
+constexpr milliseconds kWriteSpread{ 700 };
+// Time from the first start to the first read; most rows are written by then.
+constexpr milliseconds kFirstReadDelay{ 1200 };
+// How long the full table may take to come from a peer; after that, the row is
+// written without it.
+constexpr milliseconds kFullTableTimeout{ 1500 };
+// Interval of further reads. They find a host that this one does not know and
+// that does not know this one.
+constexpr milliseconds kReadInterval{ 30'000 };
+
+constexpr long kMaxMilliprocessors = 9'999'999;
+// Number of pseudo-random positions among hosts of equal size.
+constexpr std::uint64_t kOrderCount = 0x10000;
 
 } // namespace
 
 state::StoredRow ToRow(const HostRow& aHost)
 {
   const long size =
-    std::clamp(std::lround(aHost.processors * 1000), 0L, kMostMilliprocessors);
+    std::clamp(std::lround(aHost.processors * 1000), 0L, kMaxMilliprocessors);
   const nlohmann::json text = { { "host", aHost.host.value },
                                 { "address", aHost.address },
                                 { "data_centre", aHost.dataCentre.value },
                                 { "processors", aHost.processors } };
   state::StoredRow row;
   row.table = kHostTable;
-  row.key = fmt::format("{:07}-{:04x}-{}", kMostMilliprocessors - size,
-                        RendezvousScore(aHost.host.value, "row") % kOrders,
+  row.key = fmt::format("{:07}-{:04x}-{}", kMaxMilliprocessors - size,
+                        RendezvousScore(aHost.host.value, "row") % kOrderCount,
                         aHost.host.value);
   row.value = text.dump();
   return row;
@@ -79,8 +83,9 @@
   , dueAt(this->startedAt)
 {
   if (aIsFirstStart) {
-    this->dueAt += milliseconds(RendezvousScore(aSelf.host.value, "start") %
-                                static_cast<std::uint64_t>(kSpread.count()));
+    this->dueAt +=
+      milliseconds(RendezvousScore(aSelf.host.value, "start") %
+                   static_cast<std::uint64_t>(kWriteSpread.count()));
   }
 }
 
@@ -96,7 +101,7 @@
     case Step::kReadRows:
       if (this->isRegistered && this->hasReadTable &&
           this->hooks.isTableFollowedByOthers()) {
-        this->ScheduleStep(Step::kReadRows, kLookAgain);
+        this->ScheduleStep(Step::kReadRows, kReadInterval);
       } else {
         this->ReadFirstRows();
       }
@@ -123,12 +128,12 @@
         this->ScheduleStep(Step::kDone, milliseconds(0));
         return;
       }
-      // A host that looks after its own row is there finds all that were there
-      // before it, and those that come later find it.
+      // A host that reads after its own row was written finds all hosts that
+      // registered before it; hosts that register later find its row.
       this->ScheduleStep(Step::kReadRows,
-                         this->isRegistered ? milliseconds(0) : kPause);
+                         this->isRegistered ? milliseconds(0) : kRetryPause);
       if (this->isFirstStart) {
-        this->dueAt = std::max(this->dueAt, this->startedAt + kGather);
+        this->dueAt = std::max(this->dueAt, this->startedAt + kFirstReadDelay);
       }
       this->OnTimer();
     });
@@ -142,7 +147,7 @@
     this->hasLastReadFailed = !aRead;
     this->hasReadTable |= aRead.has_value();
     if (!aRead) {
-      this->ScheduleStep(this->step, kPause);
+      this->ScheduleStep(this->step, kRetryPause);
       return;
     }
     this->OnFirstRowsRead(*aRead);
@@ -159,24 +164,24 @@
       return this->IsOwnRow(aRow);
     });
   if (this->isRegistered) {
-    // Where there are more rows those who follow the table tell of new ones.
+    // In a larger table, the hosts that follow it report new rows.
     this->ScheduleStep(aRead.isPartial ? Step::kDone : Step::kReadRows,
-                       kLookAgain);
+                       kReadInterval);
   } else {
     this->ScheduleStep(Step::kWriteRow,
-                       aRead.isPartial ? kTableComes : milliseconds(0));
+                       aRead.isPartial ? kFullTableTimeout : milliseconds(0));
   }
   this->hooks.firstRowsRead(aRead);
 }
 
-void Registration::OnTable(const TableReplica& aCopy)
+void Registration::OnTable(const TableReplica& aReplica)
 {
   if (this->isRegistered || this->isCallPending ||
       this->step != Step::kWriteRow) {
     return;
   }
-  const auto row = aCopy.rows.find(this->ownRow.key);
-  if (row != aCopy.rows.end() && this->IsOwnRow(row->second)) {
+  const auto row = aReplica.rows.find(this->ownRow.key);
+  if (row != aReplica.rows.end() && this->IsOwnRow(row->second)) {
     this->isRegistered = true;
     this->ScheduleStep(Step::kDone, milliseconds(0));
   } else {
--- a/src/node/internal/registration.h
+++ b/src/node/internal/registration.h
@@ -1,13 +1,15 @@
-// How a host enters itself in the hosts' table, and how it learns at its start
-// who is there. On the serving thread.
+// Registers this host in the hosts' table and reads at its start which other
+// hosts are registered. Runs on the serving thread.
 //
-// Rows stay when their hosts end, and a host that starts again finds its own as
-// it was. So it looks first and writes only where its row is not there. Hosts
-// that all start for the first time write first and look when most are there.
+// A host's row stays in the table after the host has stopped, so a restarted
+// host finds its own row unchanged. It therefore reads the table first, and
+// writes only if its row is missing or differs. If all hosts of a deployment
+// start for the first time, each writes its row first and reads the table when
+// most rows are there.
 //
-// Only the first rows are read, those of the largest hosts: in a small
-// deployment that is the whole table, in a large one it is enough to reach
-// someone who has it.
+// Only the first rows are read, which are those of the largest hosts. In a
+// small deployment they are the full table; in a large one they are enough to
+// connect to a host that has the full table.
 
 #pragma once
 
@@ -22,7 +24,7 @@
 
 struct TableReplica;
 
-// A host as its row tells of it.
+// What a host's row in the hosts' table contains.
 struct HostRow
 {
   state::HostId host;
@@ -32,8 +34,10 @@
   double processors = 1;
 };
 
-// Larger hosts have lower keys; of hosts of one size the order has no meaning.
+// Larger hosts have lower row keys, so that reads return them first. Hosts of
+// equal size are in a pseudo-random order.
 state::StoredRow ToRow(const HostRow& aHost);
+// kInternal if the row's value is not a JSON object.
 Result<HostRow> HostFromRow(const state::StoredRow& aRow);
 
 class Registration
@@ -42,24 +46,26 @@
   struct Hooks
   {
     Clock now;
-    // Calls of the store; their answers come on the serving thread.
+    // Calls to the store. Their callbacks run on the serving thread.
     std::function<void(state::RowStore::ReadDone)> readFirstRows;
     std::function<void(const state::StoredRow&, state::RowStore::WriteDone)>
       write;
-    // Whether others follow the table and tell of new hosts.
+    // Whether other hosts follow the table and report new hosts to this one.
     std::function<bool()> isTableFollowedByOthers;
-    // The first rows of the table, each time that they were read.
+    // Runs with the first rows of the table after each successful read.
     std::function<void(const state::RowsRead&)> firstRowsRead;
   };
 
+  // aIsFirstStart: all hosts of the deployment start for the first time.
   Registration(const HostRow& aSelf, bool aIsFirstStart, Hooks aHooks);
 
   void OnTimer();
-  // A whole copy of the table, from the store or from a peer.
-  void OnTable(const TableReplica& aCopy);
+  // The full table has arrived, from the store or from a peer.
+  void OnTable(const TableReplica& aReplica);
 
-  // The store has told who is there, once; its last answer about it failed.
+  // Whether the first rows were ever read from the store.
   bool HasReadTable() const { return this->hasReadTable; }
+  // Whether the last read of the first rows failed.
   bool HasLastReadFailed() const { return this->hasLastReadFailed; }
 
 private:
@@ -82,11 +88,11 @@
   const TimePoint startedAt;
   Step step;
   TimePoint dueAt;
-  // A call is under way.
+  // A call to the store has not returned yet.
   bool isCallPending = false;
-  // The row is in the table as it should be.
+  // This host's row is in the table, with the right content.
   bool isRegistered = false;
-  // The table was read, and holds more than its first rows.
+  // The last read did not return the full table.
   bool wasReadPartial = false;
   bool hasReadTable = false;
   bool hasLastReadFailed = false;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,5 +1,6 @@
-// One host as a whole: its threads, its listeners, and the core between them.
-// The daemon is a thin shell around it; others may embed it.
+// One host on a platform with a table, an object store and endpoint lists: its
+// threads, its listeners, and the coordination between them. The daemon only
+// wraps it; other programs may embed it.
 
 #pragma once
 
@@ -15,21 +16,24 @@
 class Node
 {
 public:
-  // Listens and starts its threads; the error says which address could not be
-  // had.
+  // Listens on all addresses and starts the threads. Returns an error if it
+  // can't listen on an address.
   // aOnDeposed runs on one of its threads when the other hosts have deposed
-  // this run: it starts nothing any more, and only a new run can.
+  // this incarnation: it accepts no more work, and only a restarted process
+  // does.
   static Result<std::unique_ptr<Node>> Start(
     const state::Settings& aSettings, std::function<void()> aOnDeposed = {});
 
-  // Stops at once; see Stop for a planned stop.
+  // Stops immediately, without waiting for running requests; see Stop for a
+  // planned stop.
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // A planned stop: hands over, lets running requests end, and returns when
-  // nothing is left or aMost has passed. False where something was left.
-  bool Stop(std::chrono::milliseconds aMost);
+  // Performs a planned stop: hands over to other hosts, lets running requests
+  // end, and returns when none is left or after aTimeout. False if something
+  // was left.
+  bool Stop(std::chrono::milliseconds aTimeout);
 
 private:
   class Impl;
