--- a/src/node/internal/keyedservices.cpp
+++ b/src/node/internal/keyedservices.cpp
@@ -1,4 +1,4 @@
-// Rows, orders and maps of keyed services.
+// Stored rows, owner candidates and key maps of keyed services.
 
 #include "node/internal/keyedservices.h"
 
@@ -16,24 +16,27 @@
 
 namespace {
 
-// Two rows a service, in a part of their own, so that they can be written
-// together and services do not queue behind each other.
+// Each service has two rows in a partition of its own. So both rows can be
+// written in one transaction, and services do not wait for each other's writes.
 constexpr const char* kKeysTable = "keys";
 constexpr const char* kClaimKey = "assigner";
 constexpr const char* kAssignmentKey = "assignment";
-// Keys that a digest carries; beyond it the first ones stand for all.
-constexpr std::size_t kMostUses = 200;
-// A peer that does not go by a change that was told so long ago has missed it:
-// digests come at least each half second.
-constexpr std::chrono::milliseconds kMissedAfter{ 800 };
-// Between two reads of the stored assignment by a host without a map.
-constexpr std::chrono::milliseconds kHoldersAgain{ 1000 };
-// The few that ask the store do so as soon as they know of the service.
-constexpr std::chrono::milliseconds kOthersTell{ 5000 };
-// A host that leaves the store to hubs lets these claim first.
-constexpr std::chrono::milliseconds kHubsClaim{ 3000 };
-
-std::string PrintHost(const state::HostRef& aHost)
+// Limit of the recorded keys of a service between two digests. If more requests
+// arrive, the first ones serve as a sample.
+constexpr std::size_t kMaxRecentKeys = 200;
+// A peer that does not use a change sent longer ago than this has missed it, as
+// digests are sent at least every 0.5 s.
+constexpr std::chrono::milliseconds kUpdateMissedAfter{ 800 };
+// Interval of reads of the stored assignment by a host without a map.
+constexpr std::chrono::milliseconds kStoredReadInterval{ 1000 };
+// How long a host that does not follow the store waits for peers to send the
+// stored assignment. The few hosts that follow the store read it as soon as
+// they know of the service.
+constexpr std::chrono::milliseconds kWaitForPeers{ 5000 };
+// A host that does not follow the store lets the hubs, which do, claim first.
+constexpr std::chrono::milliseconds kClaimDelayBehindHubs{ 3000 };
+
+std::string SerializeHost(const state::HostRef& aHost)
 {
   return nlohmann::json{
     { "host", aHost.host.value }, { "incarnation", aHost.incarnation }
@@ -53,11 +56,11 @@
 } // namespace
 
 KeyedServices::KeyedServices(state::HostRef aSelf,
-                             std::chrono::milliseconds aMostHold,
+                             std::chrono::milliseconds aMaxLease,
                              routing::Upstreams& aUpstreams,
                              const Peers& aPeers, Hooks aHooks)
   : self(std::move(aSelf))
-  , maxLease(aMostHold)
+  , maxLease(aMaxLease)
   , upstreams(aUpstreams)
   , peers(aPeers)
   , hooks(std::move(aHooks))
@@ -67,10 +70,10 @@
 void KeyedServices::SetServices(const std::set<ServiceName>& aServices)
 {
   for (const ServiceName& service : aServices) {
-    ServiceState& part = this->services[service];
-    if (!part.assigner) {
-      part.assigner = this->MakeAssigner(service);
-      part.waitForPeersUntil = this->hooks.now() + kOthersTell;
+    ServiceState& entry = this->services[service];
+    if (!entry.assigner) {
+      entry.assigner = this->MakeAssigner(service);
+      entry.waitForPeersUntil = this->hooks.now() + kWaitForPeers;
     }
   }
 }
@@ -78,30 +81,38 @@
 std::unique_ptr<ownership::Assigner> KeyedServices::MakeAssigner(
   const ServiceName& aService)
 {
-  ownership::Assigner::Hooks own;
-  own.now = this->hooks.now;
-  own.read = [this, aService](const ownership::Assigner::ReadDone& aDone) {
+  ownership::Assigner::Hooks assignerHooks;
+  assignerHooks.now = this->hooks.now;
+  assignerHooks.read = [this,
+                        aService](const ownership::Assigner::ReadDone& aDone) {
     this->ReadRows(aService, aDone);
   };
-  own.write = [this, aService](const ownership::AssignmentWrite& aWrite,
-                               ownership::Assigner::WriteDone aDone) {
+  assignerHooks.write = [this,
+                         aService](const ownership::AssignmentWrite& aWrite,
+                                   ownership::Assigner::WriteDone aDone) {
     this->WriteRows(aService, aWrite, std::move(aDone));
   };
-  own.sendCommand = this->hooks.sendCommand;
-  own.candidates = [this, aService] { return this->CandidatesFor(aService); };
-  own.peers = [this, aService] { return this->peers.ViewsOf(aService); };
-  own.publish = [this, aService] { this->PublishMap(aService); };
-  own.preference = this->hooks.preference;
-  own.requestConnection = this->hooks.requestConnection;
-  own.claimDelay = [this] {
-    return this->hooks.followsStore() ? Duration(0) : Duration(kHubsClaim);
+  assignerHooks.sendCommand = this->hooks.sendCommand;
+  assignerHooks.candidates = [this, aService] {
+    return this->CandidatesFor(aService);
   };
-  own.log = [this, aService](std::string_view aWhat, std::string_view aDetail) {
+  assignerHooks.peers = [this, aService] {
+    return this->peers.ViewsOf(aService);
+  };
+  assignerHooks.publish = [this, aService] { this->PublishMap(aService); };
+  assignerHooks.preference = this->hooks.preference;
+  assignerHooks.requestConnection = this->hooks.requestConnection;
+  assignerHooks.claimDelay = [this] {
+    return this->hooks.followsStore() ? Duration(0)
+                                      : Duration(kClaimDelayBehindHubs);
+  };
+  assignerHooks.log = [this, aService](std::string_view aWhat,
+                                       std::string_view aDetail) {
     this->hooks.log(aService.value, aWhat, aDetail);
   };
   return std::make_unique<ownership::Assigner>(
     ownership::Assigner::Options{ aService, this->self, this->maxLease },
-    std::move(own));
+    std::move(assignerHooks));
 }
 
 std::vector<ownership::OwnerCandidate> KeyedServices::CandidatesFor(
@@ -110,23 +121,25 @@
   const TimePoint now = this->hooks.now();
   const std::vector<routing::UpstreamState*>& all =
     this->upstreams.ForService(aService).all;
-  const double usualMs = this->upstreams.TypicalServiceMs(aService, now);
-  std::vector<ownership::OwnerCandidate> owners;
-  for (const routing::UpstreamState* one : all) {
-    ownership::OwnerCandidate owner;
-    owner.holder = { one->entry.id, one->entry.startedMs };
-    owner.address = one->entry.address;
-    owner.mayOwn = this->upstreams.IsUsable(*one);
-    owner.cold = one->coldUntil > now;
-    owner.capacity = one->entry.slots;
-    if (one->serviceMs > 0) {
-      // Bounded, as the time is learnt from few answers of this host alone.
-      owner.capacity *= std::clamp(
-        usualMs / routing::EstimatedServiceMs(*one, usualMs, now), 0.4, 2.0);
+  const double typicalMs = this->upstreams.TypicalServiceMs(aService, now);
+  std::vector<ownership::OwnerCandidate> candidates;
+  for (const routing::UpstreamState* upstream : all) {
+    ownership::OwnerCandidate candidate;
+    candidate.holder = { upstream->entry.id, upstream->entry.startedMs };
+    candidate.address = upstream->entry.address;
+    candidate.mayOwn = this->upstreams.IsUsable(*upstream);
+    candidate.cold = upstream->coldUntil > now;
+    candidate.capacity = upstream->entry.slots;
+    if (upstream->serviceMs > 0) {
+      // Limited, as the service time is estimated from few responses, and only
+      // those that this host received.
+      candidate.capacity *= std::clamp(
+        typicalMs / routing::EstimatedServiceMs(*upstream, typicalMs, now), 0.4,
+        2.0);
     }
-    owners.push_back(std::move(owner));
+    candidates.push_back(std::move(candidate));
   }
-  return owners;
+  return candidates;
 }
 
 void KeyedServices::ReadRows(const ServiceName& aService,
@@ -138,17 +151,17 @@
                        aDone(aRead.error());
                        return;
                      }
-                     AssignmentRows stored;
+                     AssignmentRows rows;
                      for (const state::StoredRow& row : aRead->rows) {
                        if (row.key == kClaimKey) {
-                         stored.claimVersion = row.version;
-                         stored.assigner = ParseHost(row.value);
+                         rows.claimVersion = row.version;
+                         rows.assigner = ParseHost(row.value);
                        } else if (row.key == kAssignmentKey) {
-                         stored.assignmentVersion = row.version;
-                         stored.assignmentText = row.value;
+                         rows.assignmentVersion = row.version;
+                         rows.assignmentText = row.value;
                        }
                      }
-                     aDone(std::move(stored));
+                     aDone(std::move(rows));
                    });
 }
 
@@ -163,7 +176,7 @@
                          aWrite.expected.assignmentVersion } };
   if (aWrite.claim) {
     write.puts.push_back(
-      { kKeysTable, {}, kClaimKey, PrintHost(*aWrite.claim), 0, false });
+      { kKeysTable, {}, kClaimKey, SerializeHost(*aWrite.claim), 0, false });
   }
   write.puts.push_back(
     { kKeysTable, {}, kAssignmentKey, aWrite.assignmentText, 0, false });
@@ -172,16 +185,16 @@
 
 void KeyedServices::PublishMap(const ServiceName& aService)
 {
-  ServiceState& part = this->services.at(aService);
-  const ownership::MapVersion mark = part.assigner->CurrentMapVersion();
-  // The map was another host's meanwhile: what peers know is its, not what was
-  // told here last.
-  if (part.map.CurrentVersion() != part.ownVersion) {
-    part.publishedVersion = {};
+  ServiceState& entry = this->services.at(aService);
+  const ownership::MapVersion version = entry.assigner->CurrentMapVersion();
+  // Another host's map was in use in the meantime, so peers have that map and
+  // not the one that this host sent last.
+  if (entry.map.CurrentVersion() != entry.ownVersion) {
+    entry.publishedVersion = {};
   }
-  if (part.map.ReplaceIfNewer(mark, part.assigner->CurrentMap(),
-                              this->hooks.now())) {
-    part.ownVersion = mark;
+  if (entry.map.ReplaceIfNewer(version, entry.assigner->CurrentMap(),
+                               this->hooks.now())) {
+    entry.ownVersion = version;
     this->hooks.publishMaps();
     this->hooks.ownersChanged();
   }
@@ -191,107 +204,109 @@
 {
   const TimePoint now = this->hooks.now();
   std::vector<protocol::KeyMapUpdate> updates;
-  for (auto& [service, part] : this->services) {
-    if (std::exchange(part.isStoredMapUnpublished, false)) {
+  for (auto& [service, entry] : this->services) {
+    if (std::exchange(entry.isStoredMapUnpublished, false)) {
       updates.push_back(
-        ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
+        ToWire(service, entry.map.CurrentVersion(), entry.map.Ranges()));
     }
-    // Nothing new, or the map is another host's by now.
-    if (part.ownVersion == part.publishedVersion ||
-        part.map.CurrentVersion() != part.ownVersion) {
+    // The map has not changed, or it is another host's by now.
+    if (entry.ownVersion == entry.publishedVersion ||
+        entry.map.CurrentVersion() != entry.ownVersion) {
       continue;
     }
-    const bool isWhole = part.publishedVersion.assignmentVersion == 0;
-    if (isWhole) {
-      part.publications.clear();
+    const bool isFull = entry.publishedVersion.assignmentVersion == 0;
+    if (isFull) {
+      entry.publications.clear();
     }
     protocol::KeyMapUpdate update =
-      ToWire(service, part.ownVersion,
-             isWhole ? part.map.Ranges()
-                     : ownership::ChangedRanges(part.publishedRanges,
-                                                part.map.Ranges()));
-    if (!isWhole) {
-      update.__set_base(ToWire(service, part.publishedVersion));
+      ToWire(service, entry.ownVersion,
+             isFull ? entry.map.Ranges()
+                    : ownership::ChangedRanges(entry.publishedRanges,
+                                               entry.map.Ranges()));
+    if (!isFull) {
+      update.__set_base(ToWire(service, entry.publishedVersion));
     }
     updates.push_back(std::move(update));
-    part.publishedVersion = part.ownVersion;
-    part.publishedRanges = part.map.Ranges();
-    part.publications.emplace_back(now, part.ownVersion);
-    while (part.publications.size() > 1 &&
-           now - part.publications[1].first > kMissedAfter) {
-      part.publications.pop_front();
+    entry.publishedVersion = entry.ownVersion;
+    entry.publishedRanges = entry.map.Ranges();
+    entry.publications.emplace_back(now, entry.ownVersion);
+    while (entry.publications.size() > 1 &&
+           now - entry.publications[1].first > kUpdateMissedAfter) {
+      entry.publications.pop_front();
     }
   }
   return updates;
 }
 
-// Failure: all hosts lose power for a second. It takes them another 1.3 s to
-// agree on an assigner, and until then every keyed request was refused, though
-// the upstreams still held their keys. A host that knows no map goes by the
-// stored holders; one that holds a key no more refuses to run its requests.
+// Prevents this failure: all hosts lose power for a second. They take another
+// 1.3 s to agree on an assigner, and until then they refused every keyed
+// request, though the upstreams still had their leases. A host without a map
+// therefore uses the holders in the stored assignment; an upstream whose lease
+// has ended refuses to run the requests.
 void KeyedServices::UseStoredAssignment(const ServiceName& aService)
 {
   this->services.at(aService).storedReadDueAt =
-    this->hooks.now() + kHoldersAgain;
-  this->ReadRows(aService, [this,
-                            aService](const Result<AssignmentRows>& aStored) {
-    if (!aStored) {
-      return;
-    }
-    // Nothing was dealt yet, and who deals it tells everyone.
-    this->services.at(aService).storedReadDueAt = TimePoint::max();
-    if (aStored->assignmentVersion == 0) {
-      return;
-    }
-    const auto assignment = ownership::ParseAssignment(aStored->assignmentText);
-    if (!assignment) {
-      return;
-    }
-    auto stored =
-      ownership::MapFromAssignment(*assignment, aStored->assignmentVersion);
-    if (this->services.at(aService).map.ReplaceIfNewer(
-          stored.version, std::move(stored.ranges), this->hooks.now())) {
-      this->services.at(aService).isStoredMapUnpublished =
-        this->hooks.followsStore();
-      this->hooks.log(aService.value, "stored-holders",
-                      "no assigner was heard yet");
-      this->hooks.ownersChanged();
-    }
-  });
+    this->hooks.now() + kStoredReadInterval;
+  this->ReadRows(
+    aService, [this, aService](const Result<AssignmentRows>& aRows) {
+      if (!aRows) {
+        return;
+      }
+      // If no keys were assigned yet, the host that assigns them sends the map
+      // to everyone.
+      this->services.at(aService).storedReadDueAt = TimePoint::max();
+      if (aRows->assignmentVersion == 0) {
+        return;
+      }
+      const auto assignment = ownership::ParseAssignment(aRows->assignmentText);
+      if (!assignment) {
+        return;
+      }
+      auto map =
+        ownership::MapFromAssignment(*assignment, aRows->assignmentVersion);
+      if (this->services.at(aService).map.ReplaceIfNewer(
+            map.version, std::move(map.ranges), this->hooks.now())) {
+        this->services.at(aService).isStoredMapUnpublished =
+          this->hooks.followsStore();
+        this->hooks.log(aService.value, "stored-holders",
+                        "no assigner was heard yet");
+        this->hooks.ownersChanged();
+      }
+    });
 }
 
 void KeyedServices::OnTimer()
 {
   const TimePoint now = this->hooks.now();
-  for (auto& [service, part] : this->services) {
+  for (auto& [service, entry] : this->services) {
     const bool isDue =
-      now >= part.storedReadDueAt &&
-      (now >= part.waitForPeersUntil || this->hooks.followsStore());
-    if (part.map.CurrentVersion().assignmentVersion == 0 && isDue) {
+      now >= entry.storedReadDueAt &&
+      (now >= entry.waitForPeersUntil || this->hooks.followsStore());
+    if (entry.map.CurrentVersion().assignmentVersion == 0 && isDue) {
       this->UseStoredAssignment(service);
     }
-    part.assigner->OnTimer();
+    entry.assigner->OnTimer();
   }
 }
 
 void KeyedServices::OnUpstreamsChanged()
 {
-  for (auto& [service, part] : this->services) {
-    part.assigner->OnMembershipChange();
+  for (auto& [service, entry] : this->services) {
+    entry.assigner->OnMembershipChange();
   }
 }
 
-void KeyedServices::SetStoreAvailable(bool aWell)
+void KeyedServices::SetStoreAvailable(bool aIsAvailable)
 {
-  for (auto& [service, part] : this->services) {
-    part.assigner->SetStoreAvailable(aWell);
+  for (auto& [service, entry] : this->services) {
+    entry.assigner->SetStoreAvailable(aIsAvailable);
   }
 }
 
 void KeyedServices::Leave()
 {
-  for (auto& [service, part] : this->services) {
-    part.assigner->Leave();
+  for (auto& [service, entry] : this->services) {
+    entry.assigner->Leave();
   }
 }
 
@@ -303,17 +318,19 @@
 
 void KeyedServices::OnMapUpdate(const protocol::KeyMapUpdate& aUpdate)
 {
-  // A peer may know of a keyed service before this host's configuration.
-  ServiceState& part = this->services[{ aUpdate.mark.serviceName }];
-  if (!part.assigner) {
-    part.assigner = this->MakeAssigner({ aUpdate.mark.serviceName });
+  // A peer may have a configuration with a new keyed service before this host
+  // does.
+  ServiceState& entry = this->services[{ aUpdate.mark.serviceName }];
+  if (!entry.assigner) {
+    entry.assigner = this->MakeAssigner({ aUpdate.mark.serviceName });
   }
-  const ownership::MapVersion mark = FromWire(aUpdate.mark);
+  const ownership::MapVersion version = FromWire(aUpdate.mark);
   const TimePoint now = this->hooks.now();
-  const bool isNew = aUpdate.__isset.base
-                       ? part.map.ApplyChanges(FromWire(aUpdate.base), mark,
-                                               RangesOf(aUpdate), now)
-                       : part.map.ReplaceIfNewer(mark, RangesOf(aUpdate), now);
+  const bool isNew =
+    aUpdate.__isset.base
+      ? entry.map.ApplyChanges(FromWire(aUpdate.base), version,
+                               RangesOf(aUpdate), now)
+      : entry.map.ReplaceIfNewer(version, RangesOf(aUpdate), now);
   if (isNew) {
     this->hooks.ownersChanged();
   }
@@ -323,7 +340,7 @@
 {
   const auto found = this->services.find(aService);
   if (found != this->services.end() &&
-      found->second.recentKeys.size() < kMostUses) {
+      found->second.recentKeys.size() < kMaxRecentKeys) {
     found->second.recentKeys.push_back(aKey);
   }
 }
@@ -346,11 +363,11 @@
 std::vector<protocol::KeyMapMark> KeyedServices::MapVersions() const
 {
   std::vector<protocol::KeyMapMark> marks;
-  for (const auto& [service, part] : this->services) {
-    if (part.map.CurrentVersion().assignmentVersion > 0) {
-      protocol::KeyMapMark mark = ToWire(service, part.map.CurrentVersion());
+  for (const auto& [service, entry] : this->services) {
+    if (entry.map.CurrentVersion().assignmentVersion > 0) {
+      protocol::KeyMapMark mark = ToWire(service, entry.map.CurrentVersion());
       mark.__set_heard(
-        this->peers.LastDigestNumber(part.map.CurrentVersion().assigner));
+        this->peers.LastDigestNumber(entry.map.CurrentVersion().assigner));
       marks.push_back(std::move(mark));
     }
   }
@@ -361,71 +378,71 @@
   const state::HostId& aPeer)
 {
   std::vector<protocol::KeyUse> uses;
-  for (auto& [service, part] : this->services) {
-    if (part.recentKeys.empty() ||
-        part.map.CurrentVersion().assigner.host != aPeer) {
+  for (auto& [service, entry] : this->services) {
+    if (entry.recentKeys.empty() ||
+        entry.map.CurrentVersion().assigner.host != aPeer) {
       continue;
     }
     protocol::KeyUse use;
     use.__set_serviceName(service.value);
-    use.__set_keys({ part.recentKeys.begin(), part.recentKeys.end() });
-    part.recentKeys.clear();
+    use.__set_keys({ entry.recentKeys.begin(), entry.recentKeys.end() });
+    entry.recentKeys.clear();
     uses.push_back(std::move(use));
   }
   return uses;
 }
 
-bool KeyedServices::WasRecentlySentFullMap(const ServiceState& aPart,
+bool KeyedServices::WasRecentlySentFullMap(const ServiceState& aEntry,
                                            const KnownPeer& aPeer) const
 {
-  const auto whole = aPart.fullMapSentAt.find(aPeer.host.host);
-  return whole != aPart.fullMapSentAt.end() &&
-         this->hooks.now() - whole->second < kMissedAfter;
+  const auto sent = aEntry.fullMapSentAt.find(aPeer.host.host);
+  return sent != aEntry.fullMapSentAt.end() &&
+         this->hooks.now() - sent->second < kUpdateMissedAfter;
 }
 
-bool KeyedServices::PeerLacksMap(const ServiceState& aPart,
+bool KeyedServices::PeerLacksMap(const ServiceState& aEntry,
                                  const ServiceName& aService,
                                  const KnownPeer& aPeer) const
 {
-  const ownership::MapVersion& mark = aPart.map.CurrentVersion();
-  return mark.assignmentVersion > 0 && mark.assigner.host.value.empty() &&
+  const ownership::MapVersion& version = aEntry.map.CurrentVersion();
+  return version.assignmentVersion > 0 && version.assigner.host.value.empty() &&
          this->hooks.followsStore() && !aPeer.maps.contains(aService) &&
-         !this->WasRecentlySentFullMap(aPart, aPeer);
+         !this->WasRecentlySentFullMap(aEntry, aPeer);
 }
 
-bool KeyedServices::PeerMissedUpdate(const ServiceState& aPart,
+bool KeyedServices::PeerMissedUpdate(const ServiceState& aEntry,
                                      const ServiceName& aService,
                                      const KnownPeer& aPeer) const
 {
   const TimePoint now = this->hooks.now();
-  if (aPart.publications.empty() ||
-      aPart.map.CurrentVersion() != aPart.ownVersion ||
-      this->WasRecentlySentFullMap(aPart, aPeer)) {
+  if (aEntry.publications.empty() ||
+      aEntry.map.CurrentVersion() != aEntry.ownVersion ||
+      this->WasRecentlySentFullMap(aEntry, aPeer)) {
     return false;
   }
-  const auto& [toldAt, mark] = aPart.publications.front();
+  const auto& [publishedAt, version] = aEntry.publications.front();
   const auto known = aPeer.maps.find(aService);
-  const bool goesByIt = known != aPeer.maps.end() &&
-                        known->second.assigner == this->self &&
-                        !mark.IsNewerThan(known->second);
-  return now - toldAt > kMissedAfter && !goesByIt;
+  const bool usesIt = known != aPeer.maps.end() &&
+                      known->second.assigner == this->self &&
+                      !version.IsNewerThan(known->second);
+  return now - publishedAt > kUpdateMissedAfter && !usesIt;
 }
 
 std::vector<protocol::KeyMapUpdate> KeyedServices::TakeFullMapsFor(
   const KnownPeer& aPeer)
 {
   std::vector<protocol::KeyMapUpdate> updates;
-  for (auto& [service, part] : this->services) {
-    if (this->PeerMissedUpdate(part, service, aPeer)) {
+  for (auto& [service, entry] : this->services) {
+    if (this->PeerMissedUpdate(entry, service, aPeer)) {
       updates.push_back(
-        ToWire(service, part.publishedVersion, part.publishedRanges));
-    } else if (this->PeerLacksMap(part, service, aPeer)) {
+        ToWire(service, entry.publishedVersion, entry.publishedRanges));
+    } else if (this->PeerLacksMap(entry, service, aPeer)) {
       updates.push_back(
-        ToWire(service, part.map.CurrentVersion(), part.map.Ranges()));
+        ToWire(service, entry.map.CurrentVersion(), entry.map.Ranges()));
     } else {
       continue;
     }
-    part.fullMapSentAt[aPeer.host.host] = this->hooks.now();
+    entry.fullMapSentAt[aPeer.host.host] = this->hooks.now();
   }
   return updates;
 }
@@ -433,9 +450,9 @@
 std::set<state::HostId> KeyedServices::Assigners() const
 {
   std::set<state::HostId> assigners;
-  for (const auto& [service, part] : this->services) {
-    if (!part.map.CurrentVersion().assigner.host.value.empty()) {
-      assigners.insert(part.map.CurrentVersion().assigner.host);
+  for (const auto& [service, entry] : this->services) {
+    if (!entry.map.CurrentVersion().assigner.host.value.empty()) {
+      assigners.insert(entry.map.CurrentVersion().assigner.host);
     }
   }
   return assigners;
--- a/src/node/internal/keyedservices.h
+++ b/src/node/internal/keyedservices.h
@@ -1,5 +1,7 @@
-// The keyed services of a host: its maps, and its assigners' hooks into the
-// store and the upstreams. On the serving thread.
+// The keyed services of a host: for each service, the key map that the host
+// uses and the assigner that may take over the assignment of its keys. Connects
+// the assigners to the store, the upstreams and the peers. Runs on the serving
+// thread.
 
 #pragma once
 
@@ -25,7 +27,7 @@
   struct Hooks
   {
     Clock now;
-    // Of the store, on the serving thread again when they answer.
+    // Calls to the store. Their callbacks run on the serving thread.
     std::function<void(const std::string& aTable, const std::string& aPart,
                        state::RowStore::ReadDone)>
       read;
@@ -34,50 +36,61 @@
     std::function<void(const ownership::LeaseCommand&,
                        ownership::Assigner::CommandDone)>
       sendCommand;
-    // Of Assigner::Hooks.
+    // See Assigner::Hooks.
     std::function<double(const state::HostId&)> preference;
     std::function<void(const state::HostRef&)> requestConnection;
-    // Whether this host is one of those that ask the store and tell the others.
+    // Whether this host follows tables at the store and forwards changes to
+    // other hosts.
     std::function<bool()> followsStore;
-    // A map has changed here and peers should hear of it; see TakeUpdates.
+    // A map of this host has changed and is to be sent to peers; see
+    // TakeMapUpdates.
     std::function<void()> publishMaps;
-    // Waiting requests may find an owner now.
+    // Owners have changed, so waiting requests may have one now.
     std::function<void()> ownersChanged;
+    // The service, what happened, and details; see Assigner::Hooks.
     std::function<void(std::string_view, std::string_view, std::string_view)>
       log;
   };
 
-  KeyedServices(state::HostRef aSelf, std::chrono::milliseconds aMostHold,
+  KeyedServices(state::HostRef aSelf, std::chrono::milliseconds aMaxLease,
                 routing::Upstreams& aUpstreams, const Peers& aPeers,
                 Hooks aHooks);
 
-  // The services that are keyed now; a service that is gone keeps its
-  // assigner, as its upstreams still hold.
+  // Sets the services that are keyed now. A service that is no longer keyed
+  // keeps its assigner, as its upstreams still have leases.
   void SetServices(const std::set<state::ServiceName>& aServices);
   void OnTimer();
-  // Upstreams or places have changed.
+  // Upstreams have changed, or data centres were taken out of service or put
+  // back.
   void OnUpstreamsChanged();
-  void SetStoreAvailable(bool aWell);
+  void SetStoreAvailable(bool aIsAvailable);
+  // Prepares a planned stop; see Assigner::Leave.
   void Leave();
 
-  // Null where nothing is known of the service.
+  // Null if the service is unknown.
   ownership::KeyMap* FindMap(const state::ServiceName& aService);
+  // A peer has sent a map or its changes.
   void OnMapUpdate(const protocol::KeyMapUpdate& aUpdate);
-  // A key of a request that arrived here.
+  // Records the key of a request that arrived here, for the service's assigner.
   void OnRequest(const state::ServiceName& aService, ownership::Key aKey);
+  // Keys of requests that arrived at some host, for an assigner on this host.
   void OnKeyUses(const std::vector<protocol::KeyUse>& aUses);
 
-  // For the digest to a peer: keys are told to their assigner only, and once.
+  // Versions of the maps that this host uses, for its digests.
   std::vector<protocol::KeyMapMark> MapVersions() const;
+  // Removes and returns the recorded keys of the services whose assigner is
+  // aPeer, for the digest to it. Each key is reported once.
   std::vector<protocol::KeyUse> TakeKeyUses(const state::HostId& aPeer);
-  // What changed in this host's maps since the last call, for everyone.
+  // Changes of this host's own maps since the last call, for all peers.
   std::vector<protocol::KeyMapUpdate> TakeMapUpdates();
-  // The whole map where this host assigns it and the peer has missed a change
-  // of a while ago: the changes since were of no use to it. The stored one
-  // where it has none.
+  // Full maps that the peer lacks; records that they were sent. They are maps
+  // that this host assigns if the peer missed a change some time ago, as it
+  // can't apply the later changes, and maps from the stored assignment if the
+  // peer has no map.
   std::vector<protocol::KeyMapUpdate> TakeFullMapsFor(const KnownPeer& aPeer);
+  // Whether this host is the assigner of any service.
   bool IsAssigner() const;
-  // Of the maps that this host goes by.
+  // The assigners of the maps that this host uses.
   std::set<state::HostId> Assigners() const;
 
 private:
@@ -85,38 +98,44 @@
   {
     ownership::KeyMap map;
     std::unique_ptr<ownership::Assigner> assigner;
+    // Keys of requests that arrived here, not reported to the assigner yet.
     std::vector<ownership::Key> recentKeys;
-    // Without a map, when the stored assignment is read next. One that leaves
-    // the store to others waits for a while for these to tell.
+    // While there is no map: when the stored assignment is read next. A host
+    // that does not follow the store waits until waitForPeersUntil for a peer
+    // to send it.
     TimePoint storedReadDueAt;
     TimePoint waitForPeersUntil;
-    // The map is that of the stored assignment, read here, and peers were not
-    // told yet.
+    // The map was made from the stored assignment that this host has read, and
+    // was not sent to peers yet.
     bool isStoredMapUnpublished = false;
-    // Of this host's own map.
+    // Version of the map that this host's assigner made.
     ownership::MapVersion ownVersion;
-    // What peers were told last; nothing where they need the whole.
+    // Version and ranges that were last sent to peers; the version is empty if
+    // they need the full map.
     ownership::MapVersion publishedVersion;
     std::vector<ownership::MapRange> publishedRanges;
-    // When each mark was told, the last few.
+    // The last few versions that were sent to peers, with the times of sending.
     std::deque<std::pair<TimePoint, ownership::MapVersion>> publications;
-    // When a peer got the whole map.
+    // When each peer was last sent the full map.
     std::map<state::HostId, TimePoint> fullMapSentAt;
   };
 
-  // Whether the peer goes by no map, and this host by that of the stored
-  // assignment.
-  bool PeerLacksMap(const ServiceState& aPart,
+  // Whether the peer has no map of the service while this host uses one made
+  // from the stored assignment.
+  bool PeerLacksMap(const ServiceState& aEntry,
                     const state::ServiceName& aService,
                     const KnownPeer& aPeer) const;
-  bool WasRecentlySentFullMap(const ServiceState& aPart,
+  bool WasRecentlySentFullMap(const ServiceState& aEntry,
                               const KnownPeer& aPeer) const;
-  bool PeerMissedUpdate(const ServiceState& aPart,
+  // Whether the peer lacks a version of this host's own map that was sent
+  // longer ago than digests take to confirm it.
+  bool PeerMissedUpdate(const ServiceState& aEntry,
                         const state::ServiceName& aService,
                         const KnownPeer& aPeer) const;
 
   std::unique_ptr<ownership::Assigner> MakeAssigner(
     const state::ServiceName& aService);
+  // All upstreams of the service, with their capacity.
   std::vector<ownership::OwnerCandidate> CandidatesFor(
     const state::ServiceName& aService);
   void ReadRows(const state::ServiceName& aService,
--- a/src/node/tests/keyedservices_test.cpp
+++ b/src/node/tests/keyedservices_test.cpp
@@ -1,4 +1,4 @@
-// Whose keys a host knows before it has heard any assigner.
+// Which key owners a host uses before it has received a map from an assigner.
 
 #include "node/internal/keyedservices.h"
 
@@ -16,11 +16,11 @@
 class KeyedServicesTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(KeyedServicesTest);
-  CPPUNIT_TEST(testRestartedHostGoesByTheStoredHolders);
-  CPPUNIT_TEST(testStoredHoldersGiveWayToTheAssigner);
-  CPPUNIT_TEST(testStoreIsAskedAgainOnlyWhereItFailed);
-  CPPUNIT_TEST(testOneOfManyHasTheStoredHoldersFromOthers);
-  CPPUNIT_TEST(testOneOfManyAsksTheStoreWhereNobodyTells);
+  CPPUNIT_TEST(testRestartedHostUsesStoredHolders);
+  CPPUNIT_TEST(testAssignersMapReplacesStoredHolders);
+  CPPUNIT_TEST(testStoreIsReadAgainOnlyAfterAFailure);
+  CPPUNIT_TEST(testNonFollowerGetsStoredHoldersFromPeers);
+  CPPUNIT_TEST(testNonFollowerReadsTheStoreIfNoPeerSendsAMap);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -28,40 +28,44 @@
   {
     this->now = TimePoint(std::chrono::hours(1));
     this->reads = 0;
-    this->changes = 0;
-    this->storeFails = false;
-    this->asksStore = true;
+    this->ownerChanges = 0;
+    this->doesStoreFail = false;
+    this->followsStore = true;
     this->rows.clear();
     this->upstreams.emplace();
     this->peers.emplace(
       state::HostRef{ { "h0" }, 2 }, [this] { return this->now; },
       [](const state::HostId&) { return true; });
-    this->keys.emplace(state::HostRef{ { "h0" }, 2 }, milliseconds(10'000),
-                       *this->upstreams, *this->peers, this->MakeHooks());
+    this->keyedServices.emplace(state::HostRef{ { "h0" }, 2 },
+                                milliseconds(10'000), *this->upstreams,
+                                *this->peers, this->MakeHooks());
   }
 
-  // All hosts lost power for a second. The upstreams still hold their keys, but
-  // it takes the hosts more than another second to agree on an assigner. Until
-  // then every lookup was refused; the stored assignment says who holds what.
-  void testRestartedHostGoesByTheStoredHolders()
+  // Guards against refused keyed requests after all hosts lost power for a
+  // second. The upstreams still have their leases, but the hosts take more than
+  // another second to agree on an assigner. Until then every lookup failed,
+  // though the stored assignment names the holder of each key.
+  void testRestartedHostUsesStoredHolders()
   {
-    this->Store(7, "u1");
-    this->keys->SetServices({ kStoc });
-    this->keys->OnTimer();
-    const auto owner = this->keys->FindMap(kStoc)->OwnerOf(5, this->now);
+    this->StoreAssignment(7, "u1");
+    this->keyedServices->SetServices({ kStoc });
+    this->keyedServices->OnTimer();
+    const auto owner =
+      this->keyedServices->FindMap(kStoc)->OwnerOf(5, this->now);
     CPPUNIT_ASSERT_EQUAL(std::string("u1"), owner.upstream.value);
-    // Requests that wait for an owner look again.
-    CPPUNIT_ASSERT_EQUAL(1, this->changes);
-    CPPUNIT_ASSERT(this->keys->Assigners().empty());
+    // Requests that wait for an owner are checked again.
+    CPPUNIT_ASSERT_EQUAL(1, this->ownerChanges);
+    CPPUNIT_ASSERT(this->keyedServices->Assigners().empty());
   }
 
-  // An assigner that goes on with the very assignment knows better which of
-  // its grants are in force.
-  void testStoredHoldersGiveWayToTheAssigner()
+  // Guards against a host that keeps the stored holders when an assigner sends
+  // a map of the same assignment version. The assigner knows which leases are
+  // still in force.
+  void testAssignersMapReplacesStoredHolders()
   {
-    this->Store(7, "u1");
-    this->keys->SetServices({ kStoc });
-    this->keys->OnTimer();
+    this->StoreAssignment(7, "u1");
+    this->keyedServices->SetServices({ kStoc });
+    this->keyedServices->OnTimer();
     protocol::KeyMapUpdate update;
     update.mark.__set_serviceName(kStoc.value);
     update.mark.__set_version(7);
@@ -72,60 +76,66 @@
     range.__set_last(ownership::kLastKey);
     range.__set_upstream("u2");
     update.__set_ranges({ range });
-    this->keys->OnMapUpdate(update);
-    const auto owner = this->keys->FindMap(kStoc)->OwnerOf(5, this->now);
+    this->keyedServices->OnMapUpdate(update);
+    const auto owner =
+      this->keyedServices->FindMap(kStoc)->OwnerOf(5, this->now);
     CPPUNIT_ASSERT_EQUAL(std::string("u2"), owner.upstream.value);
   }
 
-  // Each read is paid for. Where nothing is stored, the one who deals the keys
-  // tells everyone.
-  void testStoreIsAskedAgainOnlyWhereItFailed()
+  // Guards against useless reads, as each read is billed. If nothing is stored,
+  // the host that assigns the keys sends the map to everyone; only a failed
+  // read is repeated.
+  void testStoreIsReadAgainOnlyAfterAFailure()
   {
-    this->storeFails = true;
-    this->keys->SetServices({ kStoc });
-    this->keys->OnTimer();
-    this->keys->OnTimer();
+    this->doesStoreFail = true;
+    this->keyedServices->SetServices({ kStoc });
+    this->keyedServices->OnTimer();
+    this->keyedServices->OnTimer();
     CPPUNIT_ASSERT_EQUAL(1, this->reads);
-    this->storeFails = false;
+    this->doesStoreFail = false;
     this->now += milliseconds(1000);
-    this->keys->OnTimer();
+    this->keyedServices->OnTimer();
     CPPUNIT_ASSERT_EQUAL(2, this->reads);
     this->now += milliseconds(1000);
-    this->keys->OnTimer();
+    this->keyedServices->OnTimer();
     CPPUNIT_ASSERT_EQUAL(2, this->reads);
   }
 
-  // After a loss of all power each of some hundred hosts read the same row.
-  void testOneOfManyHasTheStoredHoldersFromOthers()
+  // Guards against a burst of reads: after a loss of all power each of some
+  // hundred hosts read the same row. Hosts that follow the store read it and
+  // send it to the others.
+  void testNonFollowerGetsStoredHoldersFromPeers()
   {
-    this->Store(7, "u1");
-    this->keys->SetServices({ kStoc });
-    this->keys->OnTimer();
-    const auto told = this->keys->TakeMapUpdates();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, told.size());
-    CPPUNIT_ASSERT(this->keys->TakeMapUpdates().empty());
+    this->StoreAssignment(7, "u1");
+    this->keyedServices->SetServices({ kStoc });
+    this->keyedServices->OnTimer();
+    const auto published = this->keyedServices->TakeMapUpdates();
+    CPPUNIT_ASSERT_EQUAL(std::size_t{ 1 }, published.size());
+    CPPUNIT_ASSERT(this->keyedServices->TakeMapUpdates().empty());
     this->setUp();
-    this->asksStore = false;
-    this->keys->SetServices({ kStoc });
-    this->keys->OnTimer();
-    this->keys->OnMapUpdate(told.front());
+    this->followsStore = false;
+    this->keyedServices->SetServices({ kStoc });
+    this->keyedServices->OnTimer();
+    this->keyedServices->OnMapUpdate(published.front());
     this->now += milliseconds(2000);
-    this->keys->OnTimer();
+    this->keyedServices->OnTimer();
     CPPUNIT_ASSERT_EQUAL(0, this->reads);
-    const auto owner = this->keys->FindMap(kStoc)->OwnerOf(5, this->now);
+    const auto owner =
+      this->keyedServices->FindMap(kStoc)->OwnerOf(5, this->now);
     CPPUNIT_ASSERT_EQUAL(std::string("u1"), owner.upstream.value);
   }
 
-  // Those who ask for all are lost, or have not learnt of the service.
-  void testOneOfManyAsksTheStoreWhereNobodyTells()
+  // Guards against waiting forever for a map from peers: the hosts that follow
+  // the store may be unreachable, or may not know of the service yet.
+  void testNonFollowerReadsTheStoreIfNoPeerSendsAMap()
   {
-    this->Store(7, "u1");
-    this->asksStore = false;
-    this->keys->SetServices({ kStoc });
-    this->keys->OnTimer();
+    this->StoreAssignment(7, "u1");
+    this->followsStore = false;
+    this->keyedServices->SetServices({ kStoc });
+    this->keyedServices->OnTimer();
     CPPUNIT_ASSERT_EQUAL(0, this->reads);
     this->now += milliseconds(5100);
-    this->keys->OnTimer();
+    this->keyedServices->OnTimer();
     CPPUNIT_ASSERT_EQUAL(1, this->reads);
   }
 
@@ -139,7 +149,7 @@
     hooks.read = [this](const std::string&, const std::string&,
                         const state::RowStore::ReadDone& aDone) {
       ++this->reads;
-      if (this->storeFails) {
+      if (this->doesStoreFail) {
         aDone(make_error_code(protocol::ErrorKind::kStoreUnavailable));
         return;
       }
@@ -147,13 +157,13 @@
       read.rows = this->rows;
       aDone(std::move(read));
     };
-    hooks.followsStore = [this] { return this->asksStore; };
-    hooks.ownersChanged = [this] { ++this->changes; };
+    hooks.followsStore = [this] { return this->followsStore; };
+    hooks.ownersChanged = [this] { ++this->ownerChanges; };
     hooks.log = [](std::string_view, std::string_view, std::string_view) {};
     return hooks;
   }
 
-  void Store(state::Version aVersion, const std::string& aHolder)
+  void StoreAssignment(state::Version aVersion, const std::string& aHolder)
   {
     const auto assignment = ownership::AssignEvenly({ { { aHolder }, 1 } });
     this->rows = { { "keys", "stoc", "assignment",
@@ -163,13 +173,13 @@
 
   TimePoint now;
   int reads = 0;
-  int changes = 0;
-  bool storeFails = false;
-  bool asksStore = true;
+  int ownerChanges = 0;
+  bool doesStoreFail = false;
+  bool followsStore = true;
   std::vector<state::StoredRow> rows;
   std::optional<routing::Upstreams> upstreams;
   std::optional<Peers> peers;
-  std::optional<KeyedServices> keys;
+  std::optional<KeyedServices> keyedServices;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(KeyedServicesTest);
