--- a/src/node/internal/gatewayimpl.cpp
+++ b/src/node/internal/gatewayimpl.cpp
@@ -1,4 +1,5 @@
-// Wiring of a gateway: its listeners, its requests, its stop.
+// The part of a gateway that connects its components: listeners, hooks,
+// requests, and the planned stop.
 
 #include "node/internal/gatewayimpl.h"
 
@@ -23,36 +24,42 @@
 
 namespace {
 
-constexpr std::size_t kRing = 4096;
-// Upstreams are a millisecond or two away; one that did not take a connection
-// within that is dark or full.
-constexpr milliseconds kUpstreamConnect{ 300 };
+// Tasks that wait for a thread at most.
+constexpr std::size_t kRingSize = 4096;
+// Upstreams are one or two milliseconds away. One that has not accepted a
+// connection within this time has no power or is overloaded.
+constexpr milliseconds kUpstreamConnectTimeout{ 300 };
+// See HttpClient::Options::unacknowledged.
 constexpr milliseconds kUpstreamUnacknowledged{ 600 };
-// Answers up to this size come whole before the caller gets a byte: one that
-// breaks off can then still be had from another upstream.
-constexpr std::size_t kWholeAnswer = 2U << 20U;
-// An upstream takes some hundred connections from a dozen hosts together.
-constexpr std::size_t kIdleConnections = 8;
+// Responses up to this size are received in full before the caller gets the
+// first byte. If one breaks off, the request can still be retried at another
+// upstream.
+constexpr std::size_t kMaxBufferedResponse = 2U << 20U;
+// Idle connections kept to each upstream. An upstream accepts some hundred
+// connections in total, from a dozen hosts.
+constexpr std::size_t kMaxIdleConnections = 8;
 constexpr milliseconds kGrantTimeout{ 700 };
-// A release is answered when the work on its keys has ended.
+// An upstream responds to a release when the work on its keys has ended.
 constexpr milliseconds kReleaseTimeout{ 2500 };
-// Callers' connections that were open when the stop began go on being served
-// until the balancer has surely turned away (two checks, a second apart), then
-// end with their next answer, and then when they are idle.
-constexpr milliseconds kUntilDrain{ 2300 };
-// What comes later than that could not be surely answered in what is left: a
-// request may take some two seconds.
-constexpr milliseconds kUntilRefusal{ 2900 };
-constexpr milliseconds kUntilClose{ 3300 };
-// What is left of the grace to end in good order.
-constexpr milliseconds kEndMargin{ 900 };
-// For the last answers to get out, of what is left of the grace.
-constexpr milliseconds kLastAnswers{ 400 };
-constexpr milliseconds kStopCheck{ 20 };
-// In the log, of a request without a key.
+// Times after the start of a planned stop. Connections of callers are served as
+// usual until the load balancer has certainly stopped using this host, which
+// takes it two checks, one second apart. From kDrainAfter on, each connection
+// is closed with its next response; from kCloseAfter on, also if it is idle.
+constexpr milliseconds kDrainAfter{ 2300 };
+// New requests are refused from here on: a request may take some two seconds,
+// so a response could not be guaranteed within the rest of the grace period.
+constexpr milliseconds kRefuseAfter{ 2900 };
+constexpr milliseconds kCloseAfter{ 3300 };
+// Part of the grace period that is reserved for a clean end: requests that
+// still run then are ended.
+constexpr milliseconds kShutdownReserve{ 900 };
+// Part of that reserve in which the last responses are sent.
+constexpr milliseconds kLastResponsesTime{ 400 };
+constexpr milliseconds kStopCheckInterval{ 20 };
+// Logged as the key of a request without a key.
 constexpr std::int64_t kNoKey = -1;
-// Every so many served requests one is logged, by its name, so that all hosts
-// keep the same ones.
+// One of so many served requests is logged. The choice depends on the request's
+// id alone, so that all hosts log the same ones.
 constexpr std::uint64_t kServedSample = 16;
 
 } // namespace
@@ -64,7 +71,7 @@
   , refusals(this->metrics, "kumquat_refusals_total",
              "Requests answered with an error.", "reason")
   , retries(this->metrics, "kumquat_retries_total",
-            "Sends after a first one, by reason.", "reason")
+            "Attempts after a first one, by reason.", "reason")
   , answeredRequests(this->metrics.GetOrCreateCounter(
       "kumquat_answers_total", "Requests answered by an upstream."))
   , log({ .level = aSettings.logLevel,
@@ -72,8 +79,8 @@
           .host = aSettings.host.value,
           .toStandardOutput = true })
   , random(std::random_device{}())
-  , serving(kRing)
-  , storeThread(kRing)
+  , serving(kRingSize)
+  , storeThread(kRingSize)
   , peers(this->self, BootTime,
           [this](const state::HostId& aHost) {
             return this->topology.IsCellMember(aHost);
@@ -99,14 +106,14 @@
 {
   transport::HttpClient::Options options;
   options.localAddress = IpOf(this->settings.peerAddress);
-  options.connectTimeout = kUpstreamConnect;
+  options.connectTimeout = kUpstreamConnectTimeout;
   options.unacknowledged = kUpstreamUnacknowledged;
-  options.maxIdle = kIdleConnections;
+  options.maxIdle = kMaxIdleConnections;
   this->leaseClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
   options.echoHeader = platform::RequestIdHeader();
   options.errorsNeedEcho = false;
-  options.wholeBodyBytes = kWholeAnswer;
+  options.wholeBodyBytes = kMaxBufferedResponse;
   this->upstreamClient =
     std::make_unique<transport::HttpClient>(this->serving.Context(), options);
   this->keyedServices = std::make_unique<KeyedServices>(
@@ -131,20 +138,22 @@
                               std::string(platform::kUpstreamTable),
                               kHostTable },
     StoreClient::Hooks{
-      [this](TableUpdate aNews) {
-        this->serving.Hand([this, news = std::move(aNews)] {
-          this->replication->OnUpdate(news);
+      [this](TableUpdate aUpdate) {
+        this->serving.Hand([this, update = std::move(aUpdate)] {
+          this->replication->OnUpdate(update);
         });
       },
-      [this](bool aWell) {
-        this->serving.Hand([this, aWell] {
-          this->isStoreAvailable = aWell;
-          this->replication->SetStoreAvailable(aWell);
-          this->log.Write(aWell ? Event::kStoreBack : Event::kStoreDown);
-          this->keyedServices->SetStoreAvailable(aWell);
+      [this](bool aIsAvailable) {
+        this->serving.Hand([this, aIsAvailable] {
+          this->isStoreAvailable = aIsAvailable;
+          this->replication->SetStoreAvailable(aIsAvailable);
+          this->log.Write(aIsAvailable ? Event::kStoreBack : Event::kStoreDown);
+          this->keyedServices->SetStoreAvailable(aIsAvailable);
         });
       },
-      [this](const TableReadResult& aEnd) { this->OnTableReadEnded(aEnd); },
+      [this](const TableReadResult& aResult) {
+        this->OnTableReadEnded(aResult);
+      },
       [this](state::StoreCall aCall, const std::string& aTable) {
         this->OnStoreCall(aCall, aTable);
       } });
@@ -189,9 +198,9 @@
   options.address = this->settings.readyAddress;
   options.handler = [this](const HttpRequest&,
                            const transport::HttpServer::Respond& aRespond) {
-    const bool up = this->IsReady();
-    aRespond(
-      MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
+    const bool isReady = this->IsReady();
+    aRespond(MakePlainTextResponse(isReady ? 200 : 503,
+                                   isReady ? "ready\n" : "not ready\n"));
   };
   return TakeListener(
     transport::HttpServer::Listen(this->serving.Context(), std::move(options)),
@@ -244,8 +253,8 @@
     return std::uniform_int_distribution<std::size_t>(0,
                                                       aBelow - 1)(this->random);
   };
-  hooks.send = [this](const routing::UpstreamRequest& aSend) {
-    this->SendToUpstream(aSend);
+  hooks.send = [this](const routing::UpstreamRequest& aRequest) {
+    this->SendToUpstream(aRequest);
   };
   hooks.cancel = [this](routing::RequestNumber aNumber) {
     const auto call = this->upstreamCalls.find(aNumber);
@@ -272,7 +281,7 @@
   hooks.onRequestEnded = [this](const routing::RequestTrace& aTrace) {
     this->OnRequestEnded(aTrace);
   };
-  hooks.onRetry = [this](ErrorKind aWhy) { this->retries.Add(aWhy); };
+  hooks.onRetry = [this](ErrorKind aReason) { this->retries.Add(aReason); };
   return hooks;
 }
 
@@ -295,9 +304,9 @@
                        state::RowStore::WriteDone aDone) {
     this->WriteRows(aWrite, std::move(aDone));
   };
-  hooks.sendCommand = [this](const ownership::LeaseCommand& aOrder,
+  hooks.sendCommand = [this](const ownership::LeaseCommand& aCommand,
                              ownership::Assigner::CommandDone aDone) {
-    this->SendLeaseCommand(aOrder, std::move(aDone));
+    this->SendLeaseCommand(aCommand, std::move(aDone));
   };
   hooks.preference = [this](const state::HostId& aHost) {
     return this->topology.DutyPreference(aHost);
@@ -330,7 +339,7 @@
 void Gateway::Impl::OnCallerRequest(
   HttpRequest&& aRequest, const transport::HttpServer::Respond& aRespond)
 {
-  const auto link = aRequest.link;
+  const auto connection = aRequest.link;
   auto request = platform::ParseCallerRequest(std::move(aRequest), BootTime());
   if (!request) {
     const auto kind = static_cast<ErrorKind>(request.error().value());
@@ -348,60 +357,60 @@
     }
   }
   const routing::RequestNumber number = this->dispatcher->OnRequest(
-    std::move(*request), [id, aRespond](routing::CallerResponse aAnswer) {
-      aRespond(platform::MakeCallerResponse(std::move(aAnswer), id));
+    std::move(*request), [id, aRespond](routing::CallerResponse aResponse) {
+      aRespond(platform::MakeCallerResponse(std::move(aResponse), id));
     });
-  link->onGone = [this, number] {
+  connection->onGone = [this, number] {
     this->dispatcher->OnCallerGone(number);
     this->ScheduleDispatcher();
   };
   this->ScheduleDispatcher();
 }
 
-void Gateway::Impl::SendToUpstream(const routing::UpstreamRequest& aSend)
+void Gateway::Impl::SendToUpstream(const routing::UpstreamRequest& aRequest)
 {
-  const routing::RequestNumber number = aSend.number;
-  HttpRequest request = platform::MakeUpstreamRequest(aSend);
+  const routing::RequestNumber number = aRequest.number;
+  HttpRequest request = platform::MakeUpstreamRequest(aRequest);
   request.isStillValid = [this, number] {
     return this->dispatcher->IsTargetStillValid(number);
   };
   const auto call = this->upstreamClient->Send(
-    aSend.address, std::move(request), aSend.timeout,
-    [this, number](Result<HttpResponse> aAnswer) {
-      if (!aAnswer &&
-          aAnswer.error() == transport::TransportError::kCancelled) {
+    aRequest.address, std::move(request), aRequest.timeout,
+    [this, number](Result<HttpResponse> aResponse) {
+      if (!aResponse &&
+          aResponse.error() == transport::TransportError::kCancelled) {
         return;
       }
       this->upstreamCalls.erase(number);
-      if (aAnswer) {
+      if (aResponse) {
         this->dispatcher->OnUpstreamResponse(
-          number, platform::ParseUpstreamResponse(std::move(*aAnswer)));
+          number, platform::ParseUpstreamResponse(std::move(*aResponse)));
       } else {
         this->dispatcher->OnSendFailed(
           number,
-          static_cast<transport::TransportError>(aAnswer.error().value()));
+          static_cast<transport::TransportError>(aResponse.error().value()));
       }
       this->ScheduleDispatcher();
     });
   this->upstreamCalls[number] = call;
 }
 
-void Gateway::Impl::SendLeaseCommand(const ownership::LeaseCommand& aOrder,
+void Gateway::Impl::SendLeaseCommand(const ownership::LeaseCommand& aCommand,
                                      ownership::Assigner::CommandDone aDone)
 {
-  const bool grants = aOrder.kind == ownership::LeaseCommandKind::kGrant;
+  const bool isGrant = aCommand.kind == ownership::LeaseCommandKind::kGrant;
   this->leaseClient->Send(
-    aOrder.address, platform::MakeLeaseCommandRequest(aOrder),
-    grants ? kGrantTimeout : kReleaseTimeout,
-    [done = std::move(aDone)](const Result<HttpResponse>& aAnswer) {
-      if (aAnswer) {
-        done(platform::ParseLeaseCommandReply(*aAnswer));
+    aCommand.address, platform::MakeLeaseCommandRequest(aCommand),
+    isGrant ? kGrantTimeout : kReleaseTimeout,
+    [done = std::move(aDone)](const Result<HttpResponse>& aResponse) {
+      if (aResponse) {
+        done(platform::ParseLeaseCommandReply(*aResponse));
         return;
       }
-      const bool sent =
-        aAnswer.error() != transport::TransportError::kUnreachable;
-      done({ sent ? ownership::LeaseCommandResult::kNoAnswer
-                  : ownership::LeaseCommandResult::kUnreachable,
+      const bool mayHaveArrived =
+        aResponse.error() != transport::TransportError::kUnreachable;
+      done({ mayHaveArrived ? ownership::LeaseCommandResult::kNoAnswer
+                            : ownership::LeaseCommandResult::kUnreachable,
              {} });
     });
 }
@@ -419,18 +428,18 @@
         { { "service", aTrace.service } });
     }
     summary->Observe(aTrace.took);
-    const bool failed = aTrace.status >= 500;
-    const bool sampled =
+    const bool hasFailed = aTrace.status >= 500;
+    const bool isSampled =
       XXH3_64bits(aTrace.id.data(), aTrace.id.size()) % kServedSample == 0;
-    if (!failed && !sampled) {
+    if (!hasFailed && !isSampled) {
       return;
     }
   } else {
     this->refusals.Add(aTrace.error);
   }
-  const protocol::ErrorInfo& answer = protocol::ErrorInfoFor(aTrace.error);
+  const protocol::ErrorInfo& info = protocol::ErrorInfoFor(aTrace.error);
   const Event event = aTrace.error == ErrorKind::kNone ? Event::kRequestAnswered
-                      : answer.outcome == protocol::Outcome::kNotRun
+                      : info.outcome == protocol::Outcome::kNotRun
                         ? Event::kRequestRefused
                         : Event::kRequestGivenUp;
   this->log.Write(
@@ -438,7 +447,7 @@
              { "route", aTrace.route },
              { "service", aTrace.service },
              { "key", aTrace.key ? std::int64_t{ *aTrace.key } : kNoKey },
-             { "reason", answer.name },
+             { "reason", info.name },
              { "status", static_cast<std::int64_t>(aTrace.status) },
              { "sends", aTrace.attempts },
              { "waited_ms", static_cast<std::int64_t>(aTrace.waited.count()) },
@@ -469,7 +478,7 @@
     });
 }
 
-// --- life
+// --- readiness, reload and stop
 
 bool Gateway::Impl::IsReady() const
 {
@@ -483,15 +492,15 @@
   this->log.Write(Event::kSettingsReloaded);
 }
 
-void Gateway::Impl::OnReloadFailed(const std::string& aFault)
+void Gateway::Impl::OnReloadFailed(const std::string& aError)
 {
-  this->log.Write(Event::kSettingsInvalid, { { "fault", aFault } });
+  this->log.Write(Event::kSettingsInvalid, { { "fault", aError } });
 }
 
 bool Gateway::Impl::Stop()
 {
   const TimePoint start = Now();
-  const TimePoint latest = start + this->settings.grace - kEndMargin;
+  const TimePoint latest = start + this->settings.grace - kShutdownReserve;
   this->log.Write(Event::kStopping);
   this->serving.Hand([this] {
     this->isLeaving = true;
@@ -500,27 +509,27 @@
       { this->connectedPeers.begin(), this->connectedPeers.end() },
       this->MakeDigest());
   });
-  std::this_thread::sleep_until(start + kUntilDrain);
+  std::this_thread::sleep_until(start + kDrainAfter);
   this->callerServer->Drain();
-  std::this_thread::sleep_until(start + kUntilRefusal);
+  std::this_thread::sleep_until(start + kRefuseAfter);
   this->serving.Hand([this] { this->dispatcher->StopAccepting(); });
-  std::this_thread::sleep_until(start + kUntilClose);
+  std::this_thread::sleep_until(start + kCloseAfter);
   this->callerServer->StopAccepting();
   const auto waitUntil = [this](TimePoint aLatest) {
     while (this->callerServer->Connections() > 0 && Now() < aLatest) {
-      std::this_thread::sleep_for(kStopCheck);
+      std::this_thread::sleep_for(kStopCheckInterval);
     }
   };
   waitUntil(latest);
   if (this->callerServer->Connections() > 0) {
     this->serving.Hand([this] { this->dispatcher->EndAllRequests(); });
-    waitUntil(latest + kLastAnswers);
+    waitUntil(latest + kLastResponsesTime);
   }
-  const bool clean = this->callerServer->Busy() == 0;
+  const bool isClean = this->callerServer->Busy() == 0;
   this->log.Write(
     Event::kStopped,
     { { "left", static_cast<std::int64_t>(this->callerServer->Busy()) } });
-  return clean;
+  return isClean;
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -1,7 +1,8 @@
-// The threads of a gateway and what each of them owns.
+// The implementation of a gateway, and which of its threads owns what:
 //
-//   serving   callers, decisions, upstreams, peers: a request crosses no thread
-//   store     the platform's store, and the metrics' listener
+//   serving   callers, dispatching, upstreams, peers; a request is handled on
+//             this thread alone
+//   store     calls to the platform's store, and the metrics listener
 //
 // The log writes on a thread of its own.
 
@@ -46,7 +47,7 @@
 
   std::error_code Start();
   void Reload(const state::GatewaySettings& aSettings);
-  void OnReloadFailed(const std::string& aFault);
+  void OnReloadFailed(const std::string& aError);
   bool Stop();
 
 private:
@@ -59,43 +60,53 @@
   routing::Dispatcher::Hooks DispatcherHooks();
   KeyedServices::Hooks KeyedServicesHooks();
 
-  // Serving thread.
+  // On the serving thread.
   void OnCallerRequest(transport::HttpRequest&& aRequest,
                        const transport::HttpServer::Respond& aRespond);
-  void SendToUpstream(const routing::UpstreamRequest& aSend);
-  void SendLeaseCommand(const ownership::LeaseCommand& aOrder,
+  void SendToUpstream(const routing::UpstreamRequest& aRequest);
+  void SendLeaseCommand(const ownership::LeaseCommand& aCommand,
                         ownership::Assigner::CommandDone aDone);
   void OnRequestEnded(const routing::RequestTrace& aTrace);
   void OnFrame(const protocol::HostRef& aFrom, const protocol::Frame& aFrame);
   void OnDigest(const protocol::HostDigest& aDigest);
+  // aGrace: how long removed rows may still be used; see TableUpdate::grace.
   void OnTableChanged(const std::string& aTable,
                       const std::vector<state::StoredRow>& aChanged,
                       std::chrono::milliseconds aGrace);
-  void OnTableReadEnded(const TableReadResult& aEnd);
+  void OnTableReadEnded(const TableReadResult& aResult);
   void OnStoreCall(state::StoreCall aCall, const std::string& aTable);
   void ApplyOperatorRows();
   void ApplyConfiguration(const state::StoredRow& aRow);
+  // Whether the replica has a newer configuration than the one last parsed.
   bool IsConfigurationOutdated() const;
   void ApplyUpstreamRows(const std::vector<state::StoredRow>& aChanged,
                          std::chrono::milliseconds aGrace);
   TableReplication::Hooks TableReplicationHooks();
   Registration::Hooks RegistrationHooks();
-  // Itself included.
+  // Members of this host's cell with which digests are exchanged, this host
+  // included.
   std::vector<state::HostId> LiveCellMembers() const;
-  void UpdateFollowedTables(const std::vector<state::HostId>& aLiveMates);
+  void UpdateFollowedTables(const std::vector<state::HostId>& aLiveMembers);
+  // The first rows of the hosts' table were read; see Registration.
   void OnFirstHostRows(const state::RowsRead& aRead);
   void WriteRows(const state::RowsWrite& aWrite,
                  state::RowStore::WriteDone aDone);
   void SetHosts(const std::vector<state::StoredRow>& aRows);
+  // Opens and closes connections to peers as the topology demands.
   void UpdateConnections();
   void Tick();
   protocol::HostDigest MakeDigest();
   void SendDigests();
   void SendDigest(std::vector<std::string> aHosts,
                   protocol::HostDigest aDigest);
+  // Sends changes of this host's own key maps to all connected peers.
   void SendKeyMaps();
+  // This host has received a change; aBehind is the time since a peer announced
+  // it.
   void OnCaughtUp(const std::string& aTable, Duration aBehind);
+  // Whether every removed upstream is past its grace period.
   bool AreRemovedUpstreamsExpired() const;
+  // Sets the timer for the dispatcher's next due time.
   void ScheduleDispatcher();
   void UpdateGauges();
   bool IsReady() const;
@@ -113,14 +124,14 @@
   transport::DutyThread serving;
   transport::DutyThread storeThread;
 
-  // Serving thread.
+  // Used on the serving thread only.
   routing::Upstreams upstreams;
   Peers peers;
   PeerTopology topology;
   std::unique_ptr<KeyedServices> keyedServices;
   std::unique_ptr<routing::Dispatcher> dispatcher;
   std::shared_ptr<const routing::RouteTable> routes;
-  // Peers with a connection.
+  // Peers that this host has a connection to.
   std::set<std::string> connectedPeers;
   std::unique_ptr<TableReplication> replication;
   std::unique_ptr<Registration> registration;
@@ -135,13 +146,14 @@
   boost::asio::steady_timer tick;
   boost::asio::steady_timer dispatchTimer;
   TimePoint dispatchDueAt = TimePoint::max();
-  // No configuration is read before that; see ApplyOperatorRows.
+  // No configuration is parsed before that; see ApplyConfiguration.
   TimePoint configurationDueAt;
-  // Version of the row that was read last.
+  // Version of the configuration row that was parsed last.
   state::Version configurationRowVersion = 0;
-  // When connections to others were looked over last.
+  // When UpdateConnections last ran on a tick.
   TimePoint connectionsUpdatedAt;
-  // A host that claimed keys and was never heard here; see Assigner::Hooks.
+  // A host that claimed keys and from which no digest was ever received; see
+  // Assigner::Hooks::requestConnection.
   state::HostId unknownClaimant;
   bool isStoreAvailable = true;
   bool isLeaving = false;
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -1,4 +1,5 @@
-// Other hosts: who they are, what they are told, and what they say.
+// The part of a gateway that deals with other hosts: the hosts' table,
+// connections, received frames, and digests.
 
 #include "node/internal/gatewayimpl.h"
 
@@ -19,31 +20,31 @@
 
 namespace {
 
-constexpr milliseconds kTick{ 100 };
-// Between looks at whom to connect to.
-constexpr milliseconds kDialPause{ 500 };
+constexpr milliseconds kTickInterval{ 100 };
+// Interval at which connections to peers are opened and closed.
+constexpr milliseconds kConnectionUpdateInterval{ 500 };
 // Rows of the hosts' table that a host reads at its start.
-constexpr std::size_t kFirstHosts = 64;
+constexpr std::size_t kFirstHostRows = 64;
 
-constexpr double kMicrosInMs = 1000;
+constexpr double kMicrosPerMs = 1000;
 
-routing::UpstreamReport ReportOf(const protocol::UpstreamUse& aUse)
+routing::UpstreamReport ReportFromWire(const protocol::UpstreamUse& aUse)
 {
   return { { aUse.upstream },
            aUse.running,
            aUse.answers,
-           aUse.serviceMicros / kMicrosInMs,
+           aUse.serviceMicros / kMicrosPerMs,
            aUse.waiting };
 }
 
-protocol::UpstreamUse UseOf(const routing::UpstreamReport& aReport)
+protocol::UpstreamUse ReportToWire(const routing::UpstreamReport& aReport)
 {
   protocol::UpstreamUse use;
   use.__set_upstream(aReport.id.value);
   use.__set_running(aReport.running);
   use.__set_answers(aReport.answers);
   use.__set_serviceMicros(
-    static_cast<std::int32_t>(aReport.serviceMs * kMicrosInMs));
+    static_cast<std::int32_t>(aReport.serviceMs * kMicrosPerMs));
   use.__set_waiting(aReport.waiting);
   return use;
 }
@@ -59,7 +60,7 @@
   hooks.readFirstRows = [this](state::RowStore::ReadDone aDone) {
     this->storeThread.Hand([this, done = std::move(aDone)] {
       this->storeClient->Rows().ReadFirst(
-        kHostTable, "", kFirstHosts,
+        kHostTable, "", kFirstHostRows,
         [this, done](Result<state::RowsRead> aRead) {
           this->serving.Hand([done, read = std::move(aRead)]() mutable {
             done(std::move(read));
@@ -103,7 +104,7 @@
 }
 
 void Gateway::Impl::UpdateFollowedTables(
-  const std::vector<state::HostId>& aLiveMates)
+  const std::vector<state::HostId>& aLiveMembers)
 {
   const bool isKnown = this->registration->HasReadTable() ||
                        this->replication->Find(kHostTable).version > 0;
@@ -111,10 +112,11 @@
                                       : this->registration->HasLastReadFailed()
                                         ? HostListState::kUnavailable
                                         : HostListState::kUnknown);
-  this->replication->OnTimer(aLiveMates);
+  this->replication->OnTimer(aLiveMembers);
 }
 
-// The largest hosts, the hubs among them, are enough to have the whole from.
+// If only the first rows were read, they contain the largest hosts and so the
+// hubs; the full table comes from these.
 void Gateway::Impl::OnFirstHostRows(const state::RowsRead& aRead)
 {
   if (!aRead.isPartial) {
@@ -132,8 +134,9 @@
   for (const state::StoredRow& row : aRows) {
     const auto host = HostFromRow(row);
     if (!host) {
-      this->log.Write(Event::kPeerRefused,
-                      { { "peer", row.key }, { "why", "unreadable row" } });
+      this->log.Write(
+        Event::kPeerRefused,
+        { { "peer", row.key }, { "why", "row is not valid JSON" } });
       continue;
     }
     hosts.push_back(
@@ -152,17 +155,17 @@
     assigners.insert(this->unknownClaimant);
   }
   this->topology.SetAssigners(std::move(assigners));
-  const PeerTopology::ConnectionChanges dials =
+  const PeerTopology::ConnectionChanges changes =
     this->topology.TakeConnectionChanges();
-  for (const auto& [host, address] : dials.toOpen) {
+  for (const auto& [host, address] : changes.toOpen) {
     this->peerNetwork->SetAddress(host.value, address);
   }
-  for (const state::HostId& host : dials.toClose) {
+  for (const state::HostId& host : changes.toClose) {
     this->peerNetwork->StopDialling(host.value);
   }
 }
 
-// --- what they say
+// --- received frames
 
 void Gateway::Impl::OnFrame(const protocol::HostRef& aFrom,
                             const protocol::Frame& aFrame)
@@ -189,7 +192,8 @@
   this->peers.OnDigest(aDigest);
   const state::HostId id{ aDigest.sender.host };
   std::vector<routing::UpstreamReport> reports;
-  std::ranges::transform(aDigest.uses, std::back_inserter(reports), ReportOf);
+  std::ranges::transform(aDigest.uses, std::back_inserter(reports),
+                         ReportFromWire);
   this->upstreams.OnPeerReports(id, reports, BootTime());
   this->keyedServices->OnKeyUses(aDigest.keyUses);
   const KnownPeer& peer = this->peers.All().at(id);
@@ -206,7 +210,7 @@
   this->metrics
     .GetOrCreateSummary(
       "kumquat_table_behind_seconds",
-      "From a peer's word of a change of a table until this host "
+      "From a peer's announcement of a change of a table until this host "
       "had it.",
       { { "table", aTable } })
     .Observe(aBehind);
@@ -218,7 +222,7 @@
                     { "behind_ms", behindMs } });
 }
 
-// --- what they are told
+// --- periodic work and sent frames
 
 void Gateway::Impl::Tick()
 {
@@ -226,12 +230,13 @@
   this->upstreams.RemoveExpired(now);
   for (const state::HostId& silent : this->peers.TakeNewlySilent()) {
     this->upstreams.ForgetPeer(silent);
-    // A connection that went silent stays so; a new one may work.
+    // A connection on which nothing arrives any more does not recover; a new
+    // one may work.
     this->peerNetwork->Close(silent.value);
   }
   const std::vector<state::HostId> live = this->LiveCellMembers();
-  const bool divided = this->topology.Cells().IsDivided();
-  this->dispatcher->SetHosts(live, divided ? this->topology.AllHosts() : live,
+  const bool isDivided = this->topology.Cells().IsDivided();
+  this->dispatcher->SetHosts(live, isDivided ? this->topology.AllHosts() : live,
                              this->replication->Find(kHostTable).version > 0);
   this->registration->OnTimer();
   this->UpdateFollowedTables(live);
@@ -241,14 +246,14 @@
   this->keyedServices->OnTimer();
   this->SendKeyMaps();
   this->SendDigests();
-  if (now - this->connectionsUpdatedAt >= kDialPause) {
+  if (now - this->connectionsUpdatedAt >= kConnectionUpdateInterval) {
     this->connectionsUpdatedAt = now;
     this->UpdateConnections();
     this->UpdateGauges();
   }
   this->dispatcher->OnTimer();
   this->ScheduleDispatcher();
-  this->tick.expires_after(kTick);
+  this->tick.expires_after(kTickInterval);
   this->tick.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
       this->Tick();
@@ -256,8 +261,9 @@
   });
 }
 
-// In cells maps go out with the ticks: at the start, and when a data centre is
-// lost, hundreds of ranges change one by one.
+// If the hosts are divided into cells, this runs only on ticks, so that several
+// changes go into one message: at the start, and when a data centre is lost,
+// hundreds of ranges change one by one.
 void Gateway::Impl::SendKeyMaps()
 {
   const std::vector<std::string> all{ this->connectedPeers.begin(),
@@ -291,25 +297,27 @@
 
 void Gateway::Impl::SendDigests()
 {
-  const PeerTopology::DigestRecipients due =
+  const PeerTopology::DigestRecipients recipients =
     this->topology.TakeDigestRecipients(this->connectedPeers,
                                         this->dispatcher->LoadChangeCount());
   this->keyedServices->OnKeyUses(
     this->keyedServices->TakeKeyUses(this->self.host));
-  if (due.full.empty() && due.brief.empty()) {
+  if (recipients.full.empty() && recipients.brief.empty()) {
     return;
   }
   protocol::HostDigest digest = this->MakeDigest();
-  this->SendDigest(due.brief, digest);
-  if (!due.full.empty()) {
+  this->SendDigest(recipients.brief, digest);
+  if (!recipients.full.empty()) {
     this->upstreams.SetWaiting(this->dispatcher->WaitingByOwner());
     const auto reports = this->upstreams.TakeReports();
-    std::ranges::transform(reports, std::back_inserter(digest.uses), UseOf);
-    this->SendDigest(due.full, digest);
+    std::ranges::transform(reports, std::back_inserter(digest.uses),
+                           ReportToWire);
+    this->SendDigest(recipients.full, digest);
   }
 }
 
-// Keys go to their assigner only; all others are told the same.
+// Key uses go to the assigner of the keys only; all other recipients get the
+// same digest, which is encoded once.
 void Gateway::Impl::SendDigest(std::vector<std::string> aHosts,
                                protocol::HostDigest aDigest)
 {
--- a/src/node/internal/gatewaytables.cpp
+++ b/src/node/internal/gatewaytables.cpp
@@ -1,5 +1,5 @@
-// What a gateway learns from the store and from its peers, and what it tells
-// them.
+// The part of a gateway that deals with the store's tables: replication, and
+// applying changes of operators' and upstreams' rows.
 
 #include "node/internal/gatewayimpl.h"
 
@@ -29,8 +29,8 @@
                            const protocol::Frame& aFrame) {
     this->peerNetwork->SendToAll(aHosts, aFrame);
   };
-  hooks.follow = [this](const FollowedTables& aTables, bool aIsStandIn) {
-    this->storeClient->Follow(aTables, aIsStandIn);
+  hooks.follow = [this](const FollowedTables& aTables, bool aWithCaution) {
+    this->storeClient->Follow(aTables, aWithCaution);
   };
   hooks.readFullTable = [this](const std::string& aTable) {
     this->storeClient->ReadFullTable(aTable);
@@ -66,27 +66,28 @@
   } else if (aTable == platform::kUpstreamTable) {
     this->ApplyUpstreamRows(aChanged, aGrace);
   } else {
-    const TableReplica& copy = this->replication->Find(kHostTable);
+    const TableReplica& replica = this->replication->Find(kHostTable);
     std::vector<state::StoredRow> rows;
-    std::ranges::transform(copy.rows, std::back_inserter(rows),
+    std::ranges::transform(replica.rows, std::back_inserter(rows),
                            [](const auto& aItem) { return aItem.second; });
     this->SetHosts(rows);
-    this->registration->OnTable(copy);
+    this->registration->OnTable(replica);
   }
 }
 
-void Gateway::Impl::OnTableReadEnded(const TableReadResult& aEnd)
+void Gateway::Impl::OnTableReadEnded(const TableReadResult& aResult)
 {
-  const std::string outcome = aEnd.error ? aEnd.error.message() : "read";
+  const std::string outcome = aResult.error ? aResult.error.message() : "read";
   this->log.Write(
     Event::kTableRead,
-    { { "table", aEnd.table },
+    { { "table", aResult.table },
       { "outcome", outcome },
-      { "rows", static_cast<std::int64_t>(aEnd.rows) },
+      { "rows", static_cast<std::int64_t>(aResult.rows) },
       { "took_ms",
-        std::chrono::duration_cast<milliseconds>(aEnd.took).count() } });
-  this->serving.Hand(
-    [this, aEnd] { this->replication->OnReadEnded(aEnd.table, aEnd.took); });
+        std::chrono::duration_cast<milliseconds>(aResult.took).count() } });
+  this->serving.Hand([this, aResult] {
+    this->replication->OnReadEnded(aResult.table, aResult.took);
+  });
 }
 
 void Gateway::Impl::OnStoreCall(state::StoreCall aCall,
@@ -102,17 +103,17 @@
 
 void Gateway::Impl::ApplyOperatorRows()
 {
-  const TableReplica& copy =
+  const TableReplica& replica =
     this->replication->Find(std::string(platform::kOperatorTable));
-  std::set<state::DataCentre> out;
-  for (const auto& [key, row] : copy.rows) {
-    if (const auto centre = platform::ParseEvacuationRow(key)) {
-      out.insert(*centre);
+  std::set<state::DataCentre> outOfService;
+  for (const auto& [key, row] : replica.rows) {
+    if (const auto dataCentre = platform::ParseEvacuationRow(key)) {
+      outOfService.insert(*dataCentre);
     }
   }
-  this->upstreams.SetOutOfService(std::move(out));
-  const auto row = copy.rows.find(std::string(platform::kConfigurationKey));
-  if (row != copy.rows.end()) {
+  this->upstreams.SetOutOfService(std::move(outOfService));
+  const auto row = replica.rows.find(std::string(platform::kConfigurationKey));
+  if (row != replica.rows.end()) {
     this->ApplyConfiguration(row->second);
   }
   this->keyedServices->OnUpstreamsChanged();
@@ -120,21 +121,22 @@
   this->ScheduleDispatcher();
 }
 
-// Failure: a configuration of some thousand routes takes a small host a tenth
-// of a second to read, and operators sent three a second; requests waited for
-// seconds and were sent on after their callers had left. Reading takes a fifth
-// of the time at most, and only the newest of what came meanwhile is read.
+// Limits the time spent on parsing to a fifth, and parses only the newest of
+// the configurations that have arrived meanwhile. This prevents the following
+// failure: a small host takes a tenth of a second to parse a configuration of
+// some thousand routes, and operators sent three per second. Requests waited
+// for seconds and were forwarded after their callers had left.
 void Gateway::Impl::ApplyConfiguration(const state::StoredRow& aRow)
 {
-  constexpr int kPausePerRead = 4;
-  // Well within what operators grant for a change to come into force.
-  constexpr milliseconds kMostPause{ 300 };
+  constexpr int kPausePerParseTime = 4;
+  // Much shorter than operators allow for a change to come into force.
+  constexpr milliseconds kMaxPause{ 300 };
   const TimePoint begin = BootTime();
   if (aRow.version <= this->configurationRowVersion) {
     return;
   }
   if (begin < this->configurationDueAt) {
-    // The tick comes back to it.
+    // A later tick parses it.
     return;
   }
   this->configurationRowVersion = aRow.version;
@@ -164,7 +166,7 @@
                                 limits.headerTimeout, limits.idleTimeout);
   const TimePoint end = BootTime();
   this->configurationDueAt =
-    end + std::min<Duration>(kMostPause, kPausePerRead * (end - begin));
+    end + std::min<Duration>(kMaxPause, kPausePerParseTime * (end - begin));
   this->log.Write(
     Event::kConfigurationInForce,
     { { "version", this->routes->CurrentConfiguration().version } });
@@ -223,11 +225,12 @@
       static_cast<std::int64_t>(this->dispatcher->WaitingCount()));
   set("kumquat_running", "Requests that run at upstreams.",
       static_cast<std::int64_t>(this->dispatcher->RunningCount()));
-  set("kumquat_peers", "Peers heard within the last second.",
+  set("kumquat_peers",
+      "Members of this host's cell heard within the last second.",
       static_cast<std::int64_t>(this->peers.LiveCellMembers().size()));
-  set("kumquat_store_well", "1 where the store answers.",
+  set("kumquat_store_well", "1 if the store is available.",
       this->isStoreAvailable ? 1 : 0);
-  set("kumquat_assigner", "1 where this host assigns keys of a service.",
+  set("kumquat_assigner", "1 if this host assigns the keys of a service.",
       this->keyedServices->IsAssigner() ? 1 : 0);
   set("kumquat_log_lines_dropped",
       "Log lines dropped since the start, as nobody read them.",
