--- a/src/node/internal/nodehooks.cpp
+++ b/src/node/internal/nodehooks.cpp
@@ -1,5 +1,5 @@
-// What the core reaches the outside by: each hook hands work to the duty whose
-// thread does it, and brings the answer back to coordination's.
+// The hooks by which coordination performs I/O. Each hook hands a task to the
+// duty that does the work, and the result comes back to coordination's thread.
 
 #include "node/callerhttp.h"
 #include "node/internal/clocks.h"
@@ -41,7 +41,8 @@
     if (this->upstreams.TryHand(task)) {
       return;
     }
-    // Answered from the loop: the steward is in the middle of sending it.
+    // Reported by a separate task, as the steward is still in the middle of
+    // sending the call.
     this->coordination.Context().post([this, id] {
       this->router->OnUpstreamAnswer(
         id, make_error_code(transport::TransportError::kUnreachable));
@@ -63,10 +64,10 @@
                  done]() mutable {
       this->controlClient->Send(
         aAddress, std::move(request), aTimeout,
-        [this, done](Result<HttpResponse> aAnswer) {
+        [this, done](Result<HttpResponse> aResponse) {
           this->coordination.Hand(
-            [done, answer = std::move(aAnswer)]() mutable {
-              (*done)(std::move(answer));
+            [done, response = std::move(aResponse)]() mutable {
+              (*done)(std::move(response));
             });
         });
     };
@@ -139,9 +140,9 @@
 
 void Node::Impl::MakeOperatorApi()
 {
-  state::TableHooks pushing = this->TableHooks();
-  pushing.write = [this](std::vector<state::ConditionalWrite> aWrites,
-                         state::TableHooks::WriteDone aDone) {
+  state::TableHooks pushingTable = this->TableHooks();
+  pushingTable.write = [this](std::vector<state::ConditionalWrite> aWrites,
+                              state::TableHooks::WriteDone aDone) {
     this->router->Map().Write(std::move(aWrites), std::move(aDone));
   };
   const auto nonce = [this] {
@@ -154,7 +155,7 @@
                std::function<void(std::error_code)> aDone) {
           this->PutObject(aName, std::move(aContent), std::move(aDone));
         },
-      .table = pushing,
+      .table = pushingTable,
       .nonce = nonce,
       .accepted =
         [this](state::Version aVersion, const std::string& aText) {
@@ -179,7 +180,7 @@
                                      this->UpdateRingMetrics();
                                      return this->metrics.Text();
                                    },
-                                 .table = pushing,
+                                 .table = pushingTable,
                                  .nonce = nonce,
                                  .event =
                                    [this](Event aEvent, EventFields aFields) {
--- a/src/node/internal/nodeimpl.cpp
+++ b/src/node/internal/nodeimpl.cpp
@@ -1,4 +1,5 @@
-// Wiring of a host's threads.
+// Connects a node's threads: listeners, requests and responses, frames, the
+// tick and the planned stop.
 
 #include "node/internal/nodeimpl.h"
 
@@ -23,14 +24,15 @@
 
 namespace {
 
-constexpr milliseconds kTick{ 5 };
-constexpr milliseconds kPollEndpointsEvery{ 500 };
-constexpr milliseconds kStopCheck{ 10 };
-// The balancer reads /ready; so long it may still send after that turned.
+constexpr milliseconds kTickInterval{ 5 };
+constexpr milliseconds kEndpointPollInterval{ 500 };
+constexpr milliseconds kStopCheckInterval{ 10 };
+// For how long the load balancer may still send requests after /ready has
+// changed to "not ready".
 constexpr milliseconds kQuietBeforeStop{ 1000 };
-constexpr std::size_t kCallerBodyBytes = 16U << 20U;
-constexpr std::size_t kOperatorBodyBytes = 4U << 20U;
-constexpr std::size_t kOperatorConnections = 256;
+constexpr std::size_t kMaxCallerBodyBytes = 16U << 20U;
+constexpr std::size_t kMaxOperatorBodyBytes = 4U << 20U;
+constexpr std::size_t kMaxOperatorConnections = 256;
 
 state::HostRef FromWire(const protocol::HostRef& aRef)
 {
@@ -48,7 +50,7 @@
   , refusals(this->metrics, "kumquat_refusals_total",
              "Requests answered with an error.", "reason")
   , retries(this->metrics, "kumquat_retries_total",
-            "Tries after a first one, by reason.", "reason")
+            "Attempts after a first one, by reason.", "reason")
   , log({ .level = aSettings.logLevel,
           .json = aSettings.logJson,
           .host = aSettings.host.value })
@@ -65,8 +67,8 @@
 
 Node::Impl::~Impl()
 {
-  // Coordination last: until their threads have ended the others hand it work,
-  // and what it hands them in turn finds a ring.
+  // Coordination stops last: the other threads hand it work until they have
+  // ended, and the tasks that it hands them still need their rings.
   this->callers.Stop();
   this->upstreams.Stop();
   this->platform.Stop();
@@ -129,7 +131,7 @@
 {
   transport::HttpServer::Options options;
   options.address = this->settings.callerAddress;
-  options.maxBodyBytes = kCallerBodyBytes;
+  options.maxBodyBytes = kMaxCallerBodyBytes;
   options.maxConnections = this->settings.maxConnections;
   options.handler = [this](HttpRequest aRequest,
                            const transport::HttpServer::Respond& aRespond) {
@@ -148,8 +150,8 @@
 {
   transport::HttpServer::Options options;
   options.address = this->settings.operatorAddress;
-  options.maxBodyBytes = kOperatorBodyBytes;
-  options.maxConnections = kOperatorConnections;
+  options.maxBodyBytes = kMaxOperatorBodyBytes;
+  options.maxConnections = kMaxOperatorConnections;
   options.handler = [this](const HttpRequest& aRequest,
                            const transport::HttpServer::Respond& aRespond) {
     this->OnOperatorRequest(aRequest, aRespond);
@@ -177,7 +179,8 @@
       }
       this->router->OnPeer(FromWire(aPeer), aUp);
     };
-    // It must not be lost, and this thread must not wait.
+    // This event must not be lost, and this thread must not wait for room in
+    // the ring, so the task bypasses the ring if it is full.
     if (!this->coordination.TryHand(task)) {
       this->coordination.Context().post(
         [shared = std::make_shared<Task>(std::move(task))] { (*shared)(); });
@@ -230,10 +233,11 @@
   return std::move(aResponse);
 }
 
-// Until the answer's head; only for services of the configuration, as callers
-// could otherwise grow the registry with names of their own.
+// Records the time until the head of the response. Only services of the
+// configuration are recorded, as callers could otherwise fill the metrics
+// registry with arbitrary names.
 void Node::Impl::ObserveLatency(const state::ServiceName& aService,
-                                Duration aTook)
+                                Duration aElapsed)
 {
   if (this->router->Configuration().Find(aService) == nullptr) {
     return;
@@ -245,7 +249,7 @@
       "From a request's arrival at this host to the head of its answer.",
       { { "service", aService.value } });
   }
-  summary->Observe(aTook);
+  summary->Observe(aElapsed);
 }
 
 void Node::Impl::UpdateRingMetrics()
@@ -279,9 +283,9 @@
   const HttpRequest& aRequest, const transport::HttpServer::Respond& aRespond)
 {
   if (aRequest.target == "/ready") {
-    const bool up = this->ready.load() && !this->stopping.load();
-    aRespond(
-      MakePlainTextResponse(up ? 200 : 503, up ? "ready\n" : "not ready\n"));
+    const bool isReady = this->ready.load() && !this->stopping.load();
+    aRespond(MakePlainTextResponse(isReady ? 200 : 503,
+                                   isReady ? "ready\n" : "not ready\n"));
     return;
   }
   Task task = [this, aRequest, aRespond] {
@@ -304,8 +308,9 @@
   }
 }
 
-// A forward is refused as not run. Any other frame cannot be refused to its
-// sender; the connection is closed, so that the sender takes it as lost.
+// A forwarded request is refused with a reply that it was not run. Other frames
+// have no such reply; the connection is closed instead, so that the sender
+// treats the frame as lost.
 void Node::Impl::RefuseFrame(const protocol::HostRef& aFrom,
                              const protocol::Frame& aFrame)
 {
@@ -328,27 +333,30 @@
   const RequestId id = aCall.id;
   const auto call = this->upstreamClient->Send(
     aCall.address, std::move(aCall.request), aCall.timeout,
-    [this, id](Result<HttpResponse> aAnswer) {
+    [this, id](Result<HttpResponse> aResponse) {
       this->upstreamCalls.erase(id);
-      this->OnUpstreamAnswer(id, std::move(aAnswer));
+      this->OnUpstreamAnswer(id, std::move(aResponse));
     });
   this->upstreamCalls.emplace(id, call);
 }
 
-void Node::Impl::OnUpstreamAnswer(RequestId aId, Result<HttpResponse> aAnswer)
+void Node::Impl::OnUpstreamAnswer(RequestId aId, Result<HttpResponse> aResponse)
 {
-  if (aAnswer && aAnswer->rest) {
-    aAnswer->rest = this->ReadBodyOnUpstreams(aId, std::move(aAnswer->rest));
+  if (aResponse && aResponse->rest) {
+    aResponse->rest =
+      this->ReadBodyOnUpstreams(aId, std::move(aResponse->rest));
   }
-  this->coordination.Hand([this, aId, answer = std::move(aAnswer)]() mutable {
-    this->router->OnUpstreamAnswer(aId, std::move(answer));
-  });
+  this->coordination.Hand(
+    [this, aId, response = std::move(aResponse)]() mutable {
+      this->router->OnUpstreamAnswer(aId, std::move(response));
+    });
 }
 
-// Coordination reads the body; the connection lives on the upstreams' thread,
-// where each piece is read and where the reader is taken down. Pieces come back
-// on coordination's thread, as everything there is unguarded. When the reader
-// is dropped, read to its end or not, the steward gets its slot back.
+// Lets coordination read a body whose connection belongs to the upstreams'
+// thread: each piece is read there, and the reader is destroyed there. Pieces
+// are delivered on coordination's thread, as its data has no locks. When the
+// reader is destroyed, whether the body was read to its end or not, the
+// steward, which is the host that controls the upstream, gets the slot back.
 BodyReader Node::Impl::ReadBodyOnUpstreams(RequestId aId, BodyReader aReader)
 {
   const std::shared_ptr<BodyReader> reader(
@@ -368,8 +376,8 @@
   };
 }
 
-// The callers' server reads the body; what it reads from belongs to
-// coordination, and so does its end.
+// Lets the callers' server read a body whose reader belongs to coordination: it
+// is called and destroyed on coordination's thread.
 BodyReader Node::Impl::ReadBodyOnCoordination(BodyReader aReader)
 {
   const std::shared_ptr<BodyReader> reader(
@@ -389,7 +397,8 @@
     return false;
   }
   this->callers.Hand([this, host = aHost.value, frame = aFrame] {
-    // Not sent after all: closing tells the asker, whose call is then lost.
+    // The frame was not sent. Closing the connection makes the pending call of
+    // the sender fail.
     if (!this->peerNetwork->Send(host, frame)) {
       this->peerNetwork->Close(host);
     }
@@ -402,7 +411,7 @@
   this->router->OnTimer();
   this->PollEndpoints();
   this->PublishReadiness();
-  this->tick.expires_after(kTick);
+  this->tick.expires_after(kTickInterval);
   this->tick.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
       this->Tick();
@@ -412,9 +421,9 @@
 
 void Node::Impl::PublishReadiness()
 {
-  const bool nowReady = this->router->IsReady();
-  if (this->ready.exchange(nowReady) != nowReady) {
-    this->log.Write(nowReady ? Event::kReady : Event::kNotReady);
+  const bool isReady = this->router->IsReady();
+  if (this->ready.exchange(isReady) != isReady) {
+    this->log.Write(isReady ? Event::kReady : Event::kNotReady);
   }
   this->idle.store(this->router->IsIdle());
 }
@@ -429,7 +438,7 @@
     this->endpointListClient->Fetch([this](Result<state::EndpointList> aList) {
       this->coordination.Hand([this, list = std::move(aList)]() mutable {
         this->isPollingEndpoints = false;
-        this->endpointsDueAt = Now() + kPollEndpointsEvery;
+        this->endpointsDueAt = Now() + kEndpointPollInterval;
         if (list) {
           this->router->OnEndpoints(std::move(*list));
         }
@@ -439,9 +448,9 @@
   this->isPollingEndpoints = handed;
 }
 
-bool Node::Impl::Stop(milliseconds aMost)
+bool Node::Impl::Stop(milliseconds aTimeout)
 {
-  const TimePoint latest = Now() + aMost;
+  const TimePoint latest = Now() + aTimeout;
   this->log.Write(Event::kStopping);
   this->stopping.store(true);
   this->callerServer->Drain();
@@ -453,9 +462,9 @@
            Now() - last >= kQuietBeforeStop;
   };
   while (!isDone() && Now() < latest) {
-    std::this_thread::sleep_for(kStopCheck);
+    std::this_thread::sleep_for(kStopCheckInterval);
   }
-  const bool clean = isDone();
+  const bool isClean = isDone();
   this->callerServer->StopAccepting();
   std::promise<void> finished;
   this->coordination.Hand([this, &finished] {
@@ -464,7 +473,7 @@
   });
   finished.get_future().wait();
   this->log.Write(Event::kStopped);
-  return clean;
+  return isClean;
 }
 
 } // namespace kumquat::node
--- a/src/node/internal/nodeimpl.h
+++ b/src/node/internal/nodeimpl.h
@@ -1,9 +1,12 @@
-// The threads of one host and what each of them owns.
+// The implementation of a node, and which of its threads owns what:
 //
-//   callers       HTTP for callers and operators, connections to peers
-//   upstreams     HTTP towards upstreams
-//   coordination  the core: all decisions, no I/O
-//   platform      the table, the object store, the list of endpoints
+//   callers       HTTP servers for callers and operators, connections to peers
+//   upstreams     HTTP client for upstreams
+//   coordination  the router and all decisions, without I/O
+//   platform      clients of the table, the object store and the endpoint lists
+//
+// Each thread is a duty: work from other threads reaches it through its ring, a
+// bounded queue.
 
 #pragma once
 
@@ -42,7 +45,7 @@
   Impl& operator=(const Impl&) = delete;
 
   std::error_code Start();
-  bool Stop(std::chrono::milliseconds aMost);
+  bool Stop(std::chrono::milliseconds aTimeout);
 
 private:
   using Task = transport::DutyThread::Task;
@@ -55,7 +58,7 @@
   void MakeOperatorApi();
   state::TableHooks TableHooks();
 
-  // Callers' thread.
+  // On the callers' thread.
   void OnCallerRequest(transport::HttpRequest&& aRequest,
                        const transport::HttpServer::Respond& aRespond);
   void OnOperatorRequest(const transport::HttpRequest& aRequest,
@@ -63,10 +66,11 @@
   void OnFrame(const protocol::HostRef& aFrom, protocol::Frame aFrame);
   void RefuseFrame(const protocol::HostRef& aFrom,
                    const protocol::Frame& aFrame);
+  // Counts the response by its error kind and returns it.
   transport::HttpResponse CountAnswer(protocol::ErrorKind aKind,
                                       transport::HttpResponse&& aResponse);
 
-  // Upstreams' thread.
+  // On the upstreams' thread.
   void SendToUpstream(coordination::UpstreamCall&& aCall);
   void OnUpstreamAnswer(coordination::RequestId aId,
                         Result<transport::HttpResponse> aAnswer);
@@ -74,20 +78,22 @@
                                             transport::BodyReader aReader);
   transport::BodyReader ReadBodyOnCoordination(transport::BodyReader aReader);
 
-  // Coordination's thread.
+  // On coordination's thread. False if there is no connection to the host.
   bool SendToPeer(const state::HostId& aHost, const protocol::Frame& aFrame);
   void Tick();
+  // Fetches the endpoint lists if they are due.
   void PollEndpoints();
   void PutObject(const std::string& aName, std::string aContent,
                  std::function<void(std::error_code)> aDone);
   void FetchObject(const std::string& aName,
                    std::function<void(Result<std::string>)> aDone);
+  // Lets the other threads know whether the host is ready and idle.
   void PublishReadiness();
 
-  // Runs aTask on the platform's thread; False where its ring is full.
+  // Runs aTask on the platform's thread. False if its ring is full.
   bool TryRunOnPlatform(Task aTask);
   void CountRetry(protocol::ErrorKind aKind);
-  void ObserveLatency(const state::ServiceName& aService, Duration aTook);
+  void ObserveLatency(const state::ServiceName& aService, Duration aElapsed);
   void UpdateRingMetrics();
 
   const state::Settings settings;
@@ -97,15 +103,17 @@
   protocol::ErrorCounters refusals;
   protocol::ErrorCounters retries;
   Counter* answeredRequests = nullptr;
-  // Coordination's thread.
+  // Used on coordination's thread only.
   std::map<state::ServiceName, Summary*> latencies;
   EventLog log;
   std::mt19937_64 random;
 
-  // Of what the coordination thread last knew; read by the others.
+  // Set by coordination's thread, by callers' thread and by Stop; read from
+  // other threads.
   std::atomic<bool> ready{ false };
   std::atomic<bool> stopping{ false };
   std::atomic<bool> idle{ false };
+  // Ticks of the steady clock.
   std::atomic<std::int64_t> lastArrival{ 0 };
 
   transport::DutyThread callers;
@@ -117,13 +125,14 @@
   std::unique_ptr<transport::HttpServer> operatorServer;
   std::unique_ptr<transport::PeerNetwork> peerNetwork;
   std::unique_ptr<transport::HttpClient> upstreamClient;
-  // Control calls: their answers carry no request id.
+  // For control calls, whose responses carry no request id.
   std::unique_ptr<transport::HttpClient> controlClient;
   std::unique_ptr<transport::HttpClient> platformClient;
   std::unique_ptr<state::TableClient> tableClient;
   std::unique_ptr<state::ObjectClient> objectClient;
   std::unique_ptr<state::EndpointListClient> endpointListClient;
-  // By the core's number of the request: the client's. Upstreams' thread.
+  // The client's number of each call to an upstream, by coordination's request
+  // id. Used on the upstreams' thread only.
   std::unordered_map<coordination::RequestId, transport::HttpClient::CallId>
     upstreamCalls;
 
@@ -133,7 +142,8 @@
   boost::asio::steady_timer tick;
   TimePoint endpointsDueAt;
   bool isPollingEndpoints = false;
-  // Coordination's thread: peers that can be sent to.
+  // Peers that this host has a connection to. Used on coordination's thread
+  // only.
   std::set<std::string> connectedPeers;
 };
 
