--- a/src/node/internal/callerhttp.cpp
+++ b/src/node/internal/callerhttp.cpp
@@ -47,7 +47,7 @@
 };
 
 // Headers between upstreams and their steward, the host that controls them.
-// They are never taken from callers nor passed to them.
+// They are neither forwarded from callers nor to them.
 constexpr std::array<std::string_view, 7> kStewardHeaders = {
   "Kumquat-Request-Id", "Kumquat-Epoch", "Kumquat-Slice-Epoch",
   "Kumquat-Steward",    "Kumquat-State", "Kumquat-Incarnation",
--- a/src/node/internal/gatewayimpl.h
+++ b/src/node/internal/gatewayimpl.h
@@ -83,7 +83,7 @@
                          std::chrono::milliseconds aGrace);
   TableReplication::Hooks TableReplicationHooks();
   Registration::Hooks RegistrationHooks();
-  // Members of this host's cell with which digests are exchanged, this host
+  // Members of this host's cell whose digests arrive in time, this host
   // included.
   std::vector<state::HostId> LiveCellMembers() const;
   void UpdateFollowedTables(const std::vector<state::HostId>& aLiveMembers);
--- a/src/node/internal/gatewaypeers.cpp
+++ b/src/node/internal/gatewaypeers.cpp
@@ -136,7 +136,7 @@
     if (!host) {
       this->log.Write(
         Event::kPeerRefused,
-        { { "peer", row.key }, { "why", "row is not valid JSON" } });
+        { { "peer", row.key }, { "why", "row is not a JSON object" } });
       continue;
     }
     hosts.push_back(
