--- a/src/node/internal/catchup.h
+++ b/src/node/internal/catchup.h
@@ -59,7 +59,8 @@
   // A full read from the store ended, whoever requested it.
   void OnStoreRead(Duration aTook);
 
-  // Returns what to request now; the caller sends these requests.
+  // Returns what to request now, and counts it as requested; the caller sends
+  // these requests.
   Requests TakeRequests(const Situation& aSituation);
 
   bool IsBehind() const { return !this->missing.empty(); }
--- a/src/node/internal/peertopology.h
+++ b/src/node/internal/peertopology.h
@@ -5,8 +5,8 @@
 // Up to some twenty hosts all exchange full digests. Beyond that a host sends
 // full digests to its cell members only. Hubs and assigners of keys get a brief
 // digest from every host, which shows that the host is reachable and which
-// versions it has, and they send one to every host. So every host
-// learns of a change or of a new assigner in two steps, whatever their number.
+// versions it has, and they send one to every host. So every host learns of a
+// change or of a new assigner in two steps, whatever their number.
 
 #pragma once
 
--- a/src/ownership/internal/assigner.cpp
+++ b/src/ownership/internal/assigner.cpp
@@ -28,8 +28,7 @@
 // when the digest that it acknowledges was sent. In cells (groups of some ten
 // hosts that exchange full digests), an assigner's digests and the digests that
 // acknowledge them arrive every 300 and 500 ms, busy hosts lag by some hundred
-// milliseconds,
-// and links lose packets.
+// milliseconds, and links lose packets.
 constexpr milliseconds kMapReportValidity{ 2000 };
 // A host without a digest for this time is not counted as a host any more.
 constexpr milliseconds kHostExpiry{ 60'000 };
